--- a/src/core/ownership/backend_directory.cc
+++ b/src/core/ownership/backend_directory.cc
@@ -314,7 +314,7 @@
       return true;
     }
     const Duration patience =
-        known.only_refused ? settings_.refusal_patience : settings_.silence_patience;
+        known.only_refused ? settings_.connection_refused_timeout : settings_.unresponsive_timeout;
     if (known.silent || known.failures < kSilentFailures || now - known.failing_since < patience) {
       return false;
     }
@@ -334,9 +334,9 @@
     if (known.silent) {
       next = std::min(next, known.distrusted_until);
     } else if (known.failures >= kSilentFailures) {
-      next =
-          std::min(next, known.failing_since + (known.only_refused ? settings_.refusal_patience
-                                                                   : settings_.silence_patience));
+      next = std::min(
+          next, known.failing_since + (known.only_refused ? settings_.connection_refused_timeout
+                                                          : settings_.unresponsive_timeout));
     }
   }
   return next;
--- a/src/core/ownership/belief_events.h
+++ b/src/core/ownership/belief_events.h
@@ -1,8 +1,8 @@
-// The names of everything a coordinator reports as a change of what it believes. A BeliefAction's
-// `event` is always one of these.
+// The names of everything a coordinator reports as a change of what it believes. A
+// StateChangeAction's `event` is always one of these.
 #pragma once
 
-namespace ladderstream::ownership::belief {
+namespace ladderstream::ownership::state_change {
 
 // The lease.
 
@@ -60,4 +60,4 @@
 /// It is proven that a back end has ended.
 inline constexpr char kBackendEnded[] = "backend_ended";
 
-}  // namespace ladderstream::ownership::belief
+}  // namespace ladderstream::ownership::state_change
--- a/src/core/ownership/commit_limits.h
+++ b/src/core/ownership/commit_limits.h
@@ -22,11 +22,11 @@
 };
 
 inline void CommitLimits::Tighten(size_t change_count) {
-  constexpr size_t kLeastRowBytes = 512;
+  constexpr size_t kMinRowBytes = 512;
   // A row that is cut in two, the head row, and one to spare.
-  constexpr size_t kLeastRows = 4;
-  row_bytes = std::max(row_bytes / 2, kLeastRowBytes);
-  rows = std::max(rows / 2, kLeastRows);
+  constexpr size_t kMinRows = 4;
+  row_bytes = std::max(row_bytes / 2, kMinRowBytes);
+  rows = std::max(rows / 2, kMinRows);
   changes = std::max<size_t>(std::min(changes, change_count) / 2, 1);
 }
 
--- a/src/core/ownership/coordinator.cc
+++ b/src/core/ownership/coordinator.cc
@@ -12,7 +12,7 @@
 namespace {
 
 /// A planned stop waits at most this long for what is half done.
-constexpr Duration kResignPatience = absl::Milliseconds(1500);
+constexpr Duration kMaxResignDelay = absl::Milliseconds(1500);
 
 }  // namespace
 
@@ -24,8 +24,8 @@
       chain_(settings, self),
       orders_(settings.order_timeout) {}
 
-void Coordinator::Impl::Believe(std::string_view event, std::string detail) {
-  actions_.emplace_back(BeliefAction{std::string(event), std::move(detail)});
+void Coordinator::Impl::ReportStateChange(std::string_view event, std::string detail) {
+  actions_.emplace_back(StateChangeAction{std::string(event), std::move(detail)});
 }
 
 std::vector<Action> Coordinator::Impl::TakeActions() {
@@ -45,14 +45,15 @@
   listed_ = std::move(listed);
   const RegistrationChanges found = directory_.Update(changes, listed_);
   for (const std::string& ended : found.ended) {
-    Believe(belief::kBackendEnded, absl::StrCat(ended, " by a newer one at its address"));
+    ReportStateChange(state_change::kBackendEnded,
+                      absl::StrCat(ended, " by a newer one at its address"));
   }
   if (directory_.RemembersMany()) {
     ForgetUnneededBackends();
   }
   if (found.any) {
     backends_changed_at_ = now;
-    AskAllSoon(now);
+    RunAllPartitionersSoon(now);
   }
   if (!has_catalog_) {
     has_catalog_ = true;
@@ -65,7 +66,7 @@
   std::set<std::string> needed;
   for (const auto& [name, service] : services_) {
     needed.merge(OwnersOf(service));
-    for (const LingeringRelease& release : service.lingering) {
+    for (const RepeatedRelease& release : service.repeated_releases) {
       needed.insert(release.backend);
     }
   }
@@ -77,14 +78,15 @@
     return;
   }
   if (role_ == Role::kHolder) {
-    StepDown(belief::kLeaseLost, absl::StrCat("heartbeat of epoch ", view.epoch), now);
+    StepDown(state_change::kLeaseLost, absl::StrCat("heartbeat of epoch ", view.epoch), now);
   }
   switch (watch_.OnHeartbeat(view, now)) {
     case HolderWatch::Heartbeat::kIgnored:
       return;
     case HolderWatch::Heartbeat::kOfNewHolder:
-      Believe(belief::kHolderChanged,
-              absl::StrCat("epoch ", view.epoch, " at ", FormatEndpoint(view.peer_address)));
+      ReportStateChange(
+          state_change::kHolderChanged,
+          absl::StrCat("epoch ", view.epoch, " at ", FormatEndpoint(view.peer_address)));
       break;
     case HolderWatch::Heartbeat::kOfKnownHolder:
       break;
@@ -108,9 +110,9 @@
   if (state == nullptr) {
     return;
   }
-  if (!counts.empty() && !state->asked_for) {
-    state->asked_for = true;
-    AskSoon(*state, now);
+  if (!counts.empty() && !state->has_requests) {
+    state->has_requests = true;
+    RunPartitionerSoon(*state, now);
   }
   state->partitioner->AddLoad(counts, now);
   state->partitioner->AddServiceTimes(samples, now);
@@ -120,18 +122,18 @@
 }
 
 void Coordinator::Impl::OnOwnerDeclined(const std::string& service, const std::string& backend,
-                                        Duration rest, Time now) {
+                                        Duration backoff, Time now) {
   ServiceState* state = FindService(service);
-  if (state == nullptr || !directory_.RecordDeclined(backend, rest, now)) {
+  if (state == nullptr || !directory_.RecordDeclined(backend, backoff, now)) {
     return;
   }
-  Believe(belief::kOwnerDeclines,
-          absl::StrCat(backend, " of ", service, " for ", absl::FormatDuration(rest)));
-  AskSoon(*state, now);
+  ReportStateChange(state_change::kOwnerDeclines,
+                    absl::StrCat(backend, " of ", service, " for ", absl::FormatDuration(backoff)));
+  RunPartitionerSoon(*state, now);
   AdvanceSoon(now);
 }
 
-void Coordinator::Impl::OnOwnerDenied(const std::string& service, Key key, Time now) {
+void Coordinator::Impl::OnNotOwner(const std::string& service, Key key, Time now) {
   ServiceState* found = FindService(service);
   if (found == nullptr || key > kLastKey) {
     return;
@@ -142,13 +144,13 @@
   }
   state.denied_at = now;
   state.order_due = now;
-  Believe(belief::kOwnerDenied,
-          absl::StrCat(service, " key ", key, " owner ", state.owner, " fence ", state.fence));
+  ReportStateChange(state_change::kOwnerDenied, absl::StrCat(service, " key ", key, " owner ",
+                                                             state.owner, " fence ", state.fence));
   AdvanceSoon(now);
 }
 
 void Coordinator::Impl::OnBackendEnded(const std::string& backend, Time now) {
-  BackendEnded(backend, now);
+  MarkBackendEnded(backend, now);
   Advance(now);
 }
 
@@ -171,7 +173,7 @@
     AdvanceSoon(now);
   }
   if (reply.status == OrderStatus::kOtherInstance) {
-    BackendEnded(order->backend, now);
+    MarkBackendEnded(order->backend, now);
   } else if (order->kind == Order::Kind::kGrant) {
     OnGrantReply(*order, reply, now);
   } else {
@@ -183,7 +185,7 @@
   if (role_ == Role::kResigned || resign_by_) {
     return;
   }
-  resign_by_ = now + kResignPatience;
+  resign_by_ = now + kMaxResignDelay;
   if (role_ == Role::kStandby) {
     challenging_ = false;
     read_call_.reset();
@@ -207,8 +209,8 @@
 }
 
 void Coordinator::Impl::HolderStep(Time now) {
-  NoteLapse(now);
-  NoteTrouble(now);
+  ReportLeaseValidity(now);
+  RenewIfStoreDegraded(now);
   GiveUpOrders(now);
   if (ResignIfDone(now)) {
     return;
@@ -221,14 +223,14 @@
 
 void Coordinator::Impl::HoldAndMove(Time now) {
   EnsureServices(now);
-  NoteSilence(now);
+  ReportUnresponsiveBackends(now);
   for (auto& [name, service] : services_) {
     if (!IsListed(name)) {
       continue;
     }
     FinishReleases(service, now);
-    AskPartitioner(service, now);
-    MergeFencesIfCalm(service, now);
+    RunPartitioner(service, now);
+    MergeFencesIfSettled(service, now);
     service.table.MergeNeighbours();
   }
   SendOrders(now);
@@ -280,11 +282,11 @@
   if (!Holds(now)) {
     return wake;
   }
-  if (orders_left_) {
+  if (orders_deferred_) {
     return now;
   }
   wake = std::min(wake, chain_.confirmed_sent() + settings_.lease);
-  if (!trouble_noted_) {
+  if (!renewed_for_degraded_store_) {
     wake = std::min(wake, chain_.confirmed_sent() + 2 * settings_.lease_renewal);
   }
   wake = std::min(wake, directory_.NextSilence());
@@ -313,7 +315,7 @@
       consider(WaitOutEnd(*state));
     }
   }
-  for (const LingeringRelease& release : service.lingering) {
+  for (const RepeatedRelease& release : service.repeated_releases) {
     consider(release.due);
   }
   consider(service.partition_due);
@@ -342,15 +344,15 @@
 }
 
 void Coordinator::OnOwnerDeclined(const std::string& service, const std::string& backend,
-                                  Duration rest, Time now) {
-  impl_->OnOwnerDeclined(service, backend, rest, now);
+                                  Duration backoff, Time now) {
+  impl_->OnOwnerDeclined(service, backend, backoff, now);
 }
 
 void Coordinator::SetRateLimits(const std::map<std::string, double>& limits, Time now) {
   impl_->SetRateLimits(limits, now);
 }
-void Coordinator::OnOwnerDenied(const std::string& service, Key key, Time now) {
-  impl_->OnOwnerDenied(service, key, now);
+void Coordinator::OnNotOwner(const std::string& service, Key key, Time now) {
+  impl_->OnNotOwner(service, key, now);
 }
 
 void Coordinator::OnBackendEnded(const std::string& backend, Time now) {
--- a/src/core/ownership/coordinator.h
+++ b/src/core/ownership/coordinator.h
@@ -36,7 +36,7 @@
   Duration lease_renewal = absl::Milliseconds(800);
   /// A holder that is heard of, but whose lease row was not renewed for this long, is challenged:
   /// it may be the only one that the store does not answer.
-  Duration unrenewed_patience = absl::Milliseconds(2500);
+  Duration unrenewed_timeout = absl::Milliseconds(2500);
   /// How long one grant lets a back end hold keys; at most the platform's bound.
   Duration hold = absl::Milliseconds(4500);
   Duration hold_renewal = absl::Milliseconds(1000);
@@ -57,9 +57,9 @@
   /// far below the hold that waiting for it does not lengthen the wait for a silent owner.
   Duration map_confirmation = absl::Milliseconds(3200);
   /// A back end that confirmed no grant for this long is silent: it loses its keys.
-  Duration silence_patience = absl::Milliseconds(1200);
+  Duration unresponsive_timeout = absl::Milliseconds(1200);
   /// The same when it was because nothing listened at its address.
-  Duration refusal_patience = absl::Milliseconds(600);
+  Duration connection_refused_timeout = absl::Milliseconds(600);
   /// A service gets its first partition when its back ends have not changed for this long.
   Duration registration_settle = absl::Milliseconds(500);
   /// How many orders one back end is sent at once.
@@ -130,12 +130,12 @@
   OwnershipMap map;
 };
 /// A belief changed; for the log. `event` is one of those in belief_events.h.
-struct BeliefAction {
+struct StateChangeAction {
   std::string event;
   std::string detail;
 };
-using Action =
-    std::variant<CommitAction, ReadAction, GrantAction, ReleaseAction, PublishAction, BeliefAction>;
+using Action = std::variant<CommitAction, ReadAction, GrantAction, ReleaseAction, PublishAction,
+                            StateChangeAction>;
 
 enum class OrderStatus {
   kDone,
@@ -174,12 +174,12 @@
               const std::vector<partition::ServiceTimeSample>& samples, Time now);
   /// A back end turned a node's request away though it had free slots, and is left alone by that
   /// node for `rest`.
-  void OnOwnerDeclined(const std::string& service, const std::string& backend, Duration rest,
+  void OnOwnerDeclined(const std::string& service, const std::string& backend, Duration backoff,
                        Time now);
   /// All limits in force that back ends have named, in requests a second from all nodes together.
   void SetRateLimits(const std::map<std::string, double>& limits, Time now);
   /// A node got "does not own the key" from an owner of the map in force: check its grant.
-  void OnOwnerDenied(const std::string& service, Key key, Time now);
+  void OnNotOwner(const std::string& service, Key key, Time now);
   /// It is proven that this incarnation of a back end has ended, and so holds nothing.
   void OnBackendEnded(const std::string& backend, Time now);
   void OnStoreReply(CallId call, const store::StoreReply& reply, Time now);
--- a/src/core/ownership/coordinator_commits.cc
+++ b/src/core/ownership/coordinator_commits.cc
@@ -14,7 +14,7 @@
 constexpr Duration kMergeInterval = absl::Seconds(2);
 
 /// A change that the store refuses by itself, whatever else it is sent with, waits this long.
-constexpr Duration kSetAsideFor = absl::Seconds(30);
+constexpr Duration kRejectedChangeDelay = absl::Seconds(30);
 
 }  // namespace
 
@@ -106,25 +106,26 @@
                                          Time now) {
   commit_limits_.Tighten(attempt.changes.size());
   const bool smaller = attempt.changes.size() > 1 || EncodeRows(attempt.changes) != attempt.rows;
-  Believe(belief::kCommitRejected,
-          absl::StrCat("code ", static_cast<uint32_t>(ResultCode::kStoreRejectedWrite), ": ",
-                       attempt.changes.size(), " changes in ", attempt.rows.size(),
-                       " rows: ", detail, smaller ? ", tried again in parts" : ", set aside"));
+  ReportStateChange(
+      state_change::kCommitRejected,
+      absl::StrCat("code ", static_cast<uint32_t>(ResultCode::kStoreRejectedWrite), ": ",
+                   attempt.changes.size(), " changes in ", attempt.rows.size(), " rows: ", detail,
+                   smaller ? ", tried again in parts" : ", set aside"));
   if (smaller) {
     return;
   }
   for (const OwnershipChange& change : attempt.changes) {
-    SetAside(change, now);
+    DeferChange(change, now);
   }
 }
 
-void Coordinator::Impl::SetAside(const OwnershipChange& change, Time now) {
+void Coordinator::Impl::DeferChange(const OwnershipChange& change, Time now) {
   ServiceState* service = FindService(change.service);
   if (service == nullptr) {
     return;
   }
   for (RangeState* state : service->table.Overlapping(change.range)) {
-    state->commit_not_before = now + kSetAsideFor;
+    state->commit_not_before = now + kRejectedChangeDelay;
   }
 }
 
@@ -141,8 +142,8 @@
   }
   if (!changes.empty()) {
     map_changed_ = true;
-    Believe(belief::kAssignmentsCommitted,
-            absl::StrCat(changes.size(), " up to fence ", changes.back().fence));
+    ReportStateChange(state_change::kAssignmentsCommitted,
+                      absl::StrCat(changes.size(), " up to fence ", changes.back().fence));
   }
 }
 
@@ -159,7 +160,7 @@
     state.next_owner.clear();
     state.last_grant = absl::InfinitePast();
     state.confirmed = false;
-    std::erase_if(service.lingering, [&change](const LingeringRelease& release) {
+    std::erase_if(service.repeated_releases, [&change](const RepeatedRelease& release) {
       return release.backend == change.owner && Overlap(release.range, change.range);
     });
   }
@@ -170,8 +171,8 @@
   state.order_due = now;
 }
 
-bool Coordinator::Impl::IsCalm(const ServiceState& service, Time now) const {
-  return !resign_by_ && chain_.attempts().empty() && !StoreTroubled(now) &&
+bool Coordinator::Impl::IsSettled(const ServiceState& service, Time now) const {
+  return !resign_by_ && chain_.attempts().empty() && !StoreDegraded(now) &&
          service.table.Busy().empty() && service.table.Unconfirmed().empty();
 }
 
@@ -181,8 +182,8 @@
                      [this](const auto& entry) { return directory_.Keeps(entry.second.owner); });
 }
 
-void Coordinator::Impl::MergeFencesIfCalm(ServiceState& service, Time now) {
-  if (now < service.merge_due || !IsCalm(service, now)) {
+void Coordinator::Impl::MergeFencesIfSettled(ServiceState& service, Time now) {
+  if (now < service.merge_due || !IsSettled(service, now)) {
     return;
   }
   service.merge_due = now + kMergeInterval;
@@ -205,8 +206,9 @@
     }
     pair.back()->next_fence = pair.front()->next_fence;
     pair.back()->refence_due = now;
-    Believe(belief::kRangesMerged, absl::StrCat(service.name, " at key ", pair.back()->range.first,
-                                                " of ", pair.back()->owner));
+    ReportStateChange(state_change::kRangesMerged,
+                      absl::StrCat(service.name, " at key ", pair.back()->range.first, " of ",
+                                   pair.back()->owner));
   }
 }
 
--- a/src/core/ownership/coordinator_impl.h
+++ b/src/core/ownership/coordinator_impl.h
@@ -36,12 +36,12 @@
   void OnCoordinatorEnded(uint64_t incarnation, Time now);
   void OnLoad(const std::string& service, const std::vector<partition::KeyCount>& counts,
               const std::vector<partition::ServiceTimeSample>& samples, Time now);
-  void OnOwnerDeclined(const std::string& service, const std::string& backend, Duration rest,
+  void OnOwnerDeclined(const std::string& service, const std::string& backend, Duration backoff,
                        Time now);
   void SetRateLimits(const std::map<std::string, double>& limits, Time now) {
     directory_.SetRateLimits(limits, now);
   }
-  void OnOwnerDenied(const std::string& service, Key key, Time now);
+  void OnNotOwner(const std::string& service, Key key, Time now);
   void OnBackendEnded(const std::string& backend, Time now);
   void OnStoreReply(CallId call, const store::StoreReply& reply, Time now);
   void OnOrderReply(CallId call, const OrderReply& reply, Time now);
@@ -70,7 +70,7 @@
 
   /// An earlier owner whose hold was waited out. A grant that it never answered may still reach it;
   /// the release is repeated so that it refuses one.
-  struct LingeringRelease {
+  struct RepeatedRelease {
     std::string backend;
     KeyRange range;
     Fence fence = 0;
@@ -88,13 +88,13 @@
     bool unpartitioned = false;
     Time unpartitioned_since = absl::InfinitePast();
     /// A node was asked for its keys.
-    bool asked_for = false;
+    bool has_requests = false;
     std::unique_ptr<partition::Partitioner> partitioner;
     Time partition_due = absl::InfinitePast();
     /// Not asked sooner than this, also when something is urgent.
     Time partition_not_before = absl::InfinitePast();
     Time merge_due = absl::InfinitePast();
-    std::vector<LingeringRelease> lingering;
+    std::vector<RepeatedRelease> repeated_releases;
   };
 
   struct OrderCandidate {
@@ -103,7 +103,7 @@
     ServiceState* service = nullptr;
     /// Null for a lingering release, which then is `lingering`.
     const RangeState* state = nullptr;
-    LingeringRelease* lingering = nullptr;
+    RepeatedRelease* repeated_release = nullptr;
   };
 
   // coordinator.cc
@@ -120,7 +120,7 @@
   Time ComputeWake(Time now) const;
   Time HolderWake(Time now) const;
   Time ServiceWake(const ServiceState& service, Time now) const;
-  void Believe(std::string_view event, std::string detail);
+  void ReportStateChange(std::string_view event, std::string detail);
   CallId NextCall() { return ++last_call_; }
   bool IsListed(const std::string& service) const { return listed_.contains(service); }
 
@@ -133,7 +133,7 @@
   void ReadFailed(Time now);
   /// Reads the lease row among the rows read; empty when there is none. False: unreadable.
   bool FindLeaseRow(std::optional<LeaseRow>* lease, store::RowVersion* version);
-  void ShowReadMap(const std::optional<LeaseRow>& lease);
+  void UpdateMapFromRows(const std::optional<LeaseRow>& lease);
   void Challenge(const std::optional<LeaseRow>& lease, store::RowVersion version, Time now);
   void OnChainOutcome(const ChainOutcome& outcome, const store::StoreReply& reply, Time now);
   void OnWriteFailed(const std::string& detail, Time now);
@@ -146,8 +146,8 @@
   /// Sends the next write of the chain if one is due and none is in flight.
   void WriteStep(Time now);
   bool WriteDue(Time now) const;
-  void NoteLapse(Time now);
-  void NoteTrouble(Time now);
+  void ReportLeaseValidity(Time now);
+  void RenewIfStoreDegraded(Time now);
   /// Gives whether the lease was given up.
   bool ResignIfDone(Time now);
   Time StandbyWake() const;
@@ -166,22 +166,22 @@
   /// The store refused a transaction for what it holds: it is never sent again as it is.
   void OnCommitRejected(const LeaseAttempt& attempt, const std::string& detail, Time now);
   /// Leaves a change that no transaction can hold alone for a while.
-  void SetAside(const OwnershipChange& change, Time now);
+  void DeferChange(const OwnershipChange& change, Time now);
   void ApplyChange(ServiceState& service, const OwnershipChange& change, Time now);
-  void MergeFencesIfCalm(ServiceState& service, Time now);
-  bool IsCalm(const ServiceState& service, Time now) const;
+  void MergeFencesIfSettled(ServiceState& service, Time now);
+  bool IsSettled(const ServiceState& service, Time now) const;
   bool KeepsAllOwners(const ServiceState& service) const;
 
   // coordinator_moves.cc
 
   void EnsureServices(Time now);
-  void NoteSilence(Time now);
-  void BackendEnded(const std::string& backend, Time now);
+  void ReportUnresponsiveBackends(Time now);
+  void MarkBackendEnded(const std::string& backend, Time now);
   void FinishReleases(ServiceState& service, Time now);
   Time WaitOutEnd(const RangeState& state) const;
   /// No back end holds the range any more.
-  void Released(ServiceState& service, RangeState& state, Time now);
-  void AskPartitioner(ServiceState& service, Time now);
+  void OnReleased(ServiceState& service, RangeState& state, Time now);
+  void RunPartitioner(ServiceState& service, Time now);
   /// `under_way` counts the planned moves.
   void ApplyProposal(ServiceState& service, const partition::ProposedMove& move, Time now,
                      size_t* under_way);
@@ -192,7 +192,7 @@
   /// be without an owner until then, so moves that are not needed wait.
   bool CommitsInDoubt(Time now) const;
   /// Tells so once, until a write is confirmed.
-  void NoteMovesPutOff(Time now);
+  void ReportMovesDeferred(Time now);
   size_t CountMoves(const ServiceState& service) const;
   /// Moves whose owner might as well keep its keys. Keys of owners that are lost wait for seconds
   /// without an order or a commit; counted among the moves under way, those of 16 lost owners would
@@ -200,8 +200,8 @@
   size_t CountPlannedMoves(const ServiceState& service) const;
   void ListMoves(const ServiceState& service, Assignments* view, std::vector<KeyRange>* busy) const;
   std::set<std::string> OwnersOf(const ServiceState& service) const;
-  void AskSoon(ServiceState& service, Time now);
-  void AskAllSoon(Time now);
+  void RunPartitionerSoon(ServiceState& service, Time now);
+  void RunAllPartitionersSoon(Time now);
 
   // coordinator_orders.cc
 
@@ -222,15 +222,15 @@
   bool LeaseEnds(Time now) const;
   size_t CountRanges() const;
   /// A successor's owners have not all been asked yet to go on.
-  bool RenewsFirst(const ServiceState& service, Time now) const;
-  bool StoreTroubled(Time now) const;
+  bool AwaitsFirstRenewals(const ServiceState& service, Time now) const;
+  bool StoreDegraded(Time now) const;
   void GiveUpOrders(Time now);
   void OnGrantReply(const Order& order, const OrderReply& reply, Time now);
   void OnGrantDone(ServiceState& service, const Order& order, Time now);
   void OnGrantFenced(ServiceState& service, const Order& order, Time now);
   void OnGrantFailed(ServiceState& service, const Order& order, OrderStatus status, Time now);
   void OnReleaseReply(const Order& order, const OrderReply& reply, Time now);
-  void NoteAnswer(const std::string& backend, Time now);
+  void OnBackendAnswered(const std::string& backend, Time now);
   ServiceState* FindService(const std::string& name);
   void RenewAll(Time now);
 
@@ -267,10 +267,10 @@
   /// After a failure the next write waits until then.
   Time write_not_before_ = absl::InfinitePast();
   Duration write_backoff_ = absl::ZeroDuration();
-  bool lapse_noted_ = false;
-  bool trouble_noted_ = false;
-  bool moves_put_off_noted_ = false;
-  bool write_failure_noted_ = false;
+  bool lapse_reported_ = false;
+  bool renewed_for_degraded_store_ = false;
+  bool moves_deferred_reported_ = false;
+  bool write_failure_reported_ = false;
   /// Smaller after the store refused a transaction for what it held.
   CommitLimits commit_limits_;
   std::optional<Time> resign_by_;
@@ -285,7 +285,7 @@
   std::map<std::string, ServiceState> services_;
   OrderBook orders_;
   /// Orders that were due in the last step, and were left for the next one.
-  bool orders_left_ = false;
+  bool orders_deferred_ = false;
   /// Back ends with orders that wait for an answer to an earlier one.
   std::set<std::string, std::less<>> blocked_;
 };
--- a/src/core/ownership/coordinator_lease.cc
+++ b/src/core/ownership/coordinator_lease.cc
@@ -13,9 +13,9 @@
 
 /// Waits between writes that fail; doubled from the first to the last. The holder alone finds out
 /// so soon that the store is back: some 30 writes in 8 s of refusals.
-constexpr Duration kFirstBackoff = absl::Milliseconds(50);
-constexpr Duration kLastHolderBackoff = absl::Milliseconds(300);
-constexpr Duration kLastChallengeBackoff = absl::Milliseconds(1600);
+constexpr Duration kMinBackoff = absl::Milliseconds(50);
+constexpr Duration kMaxHolderBackoff = absl::Milliseconds(300);
+constexpr Duration kMaxChallengeBackoff = absl::Milliseconds(1600);
 
 }  // namespace
 
@@ -74,7 +74,8 @@
     try {
       *lease = DecodeLeaseRow(row.value);
     } catch (const Error& error) {
-      Believe(belief::kRowUnreadable, absl::StrCat(row.key.key, ": ", error.what()));
+      ReportStateChange(state_change::kRowUnreadable,
+                        absl::StrCat(row.key.key, ": ", error.what()));
       return false;
     }
     *version = row.version;
@@ -90,13 +91,13 @@
     watch_.OnFailure(now);
     return;
   }
-  ShowReadMap(lease);
+  UpdateMapFromRows(lease);
   if (watch_.OnRow(lease, version, now)) {
     Challenge(lease, version, now);
   }
 }
 
-void Coordinator::Impl::ShowReadMap(const std::optional<LeaseRow>& lease) {
+void Coordinator::Impl::UpdateMapFromRows(const std::optional<LeaseRow>& lease) {
   const MapVersion version{lease ? lease->epoch : 0, 0};
   if (version < map_.version) {
     return;
@@ -104,7 +105,7 @@
   map_ = {version, {}};
   for (auto& [service, stored] : ReadServices(read_rows_)) {
     for (const std::string& fault : stored.faults) {
-      Believe(belief::kRowUnreadable, fault);
+      ReportStateChange(state_change::kRowUnreadable, fault);
     }
     if (stored.unreadable.empty()) {
       map_.services[service].assignments = std::move(stored.row.assignments);
@@ -131,9 +132,10 @@
   challenged_known_since_ = never_held ? absl::InfinitePast() : watch_.KnownSince(version, now);
   chain_.Restart(version, versions);
   challenging_ = true;
-  Believe(belief::kLeaseChallenged,
-          lease ? absl::StrCat("epoch ", lease->epoch, " of ", FormatEndpoint(lease->peer_address))
-                : "there is none");
+  ReportStateChange(
+      state_change::kLeaseChallenged,
+      lease ? absl::StrCat("epoch ", lease->epoch, " of ", FormatEndpoint(lease->peer_address))
+            : "there is none");
   WriteStep(now);
 }
 
@@ -165,12 +167,12 @@
 }
 
 void Coordinator::Impl::OnWriteFailed(const std::string& detail, Time now) {
-  if (!write_failure_noted_) {
-    write_failure_noted_ = true;
-    Believe(belief::kStoreWriteFailed, detail);
+  if (!write_failure_reported_) {
+    write_failure_reported_ = true;
+    ReportStateChange(state_change::kStoreWriteFailed, detail);
   }
-  const Duration last = role_ == Role::kHolder ? kLastHolderBackoff : kLastChallengeBackoff;
-  write_backoff_ = std::clamp(write_backoff_ * 2, kFirstBackoff, last);
+  const Duration last = role_ == Role::kHolder ? kMaxHolderBackoff : kMaxChallengeBackoff;
+  write_backoff_ = std::clamp(write_backoff_ * 2, kMinBackoff, last);
   const double share = static_cast<double>((self_.incarnation + last_call_) % 64) / 64;
   write_not_before_ = now + write_backoff_ * (0.5 + share / 2);
 }
@@ -197,19 +199,19 @@
         return;
       }
       if (role_ == Role::kHolder) {
-        StepDown(belief::kLeaseLost, "the row was written by another", now);
+        StepDown(state_change::kLeaseLost, "the row was written by another", now);
       }
       challenging_ = false;
-      watch_.OnOvertaken(outcome.other, outcome.other_version, now);
+      watch_.OnSuperseded(outcome.other, outcome.other_version, now);
       return;
     case ChainOutcome::Kind::kApplied:
       break;
   }
   write_backoff_ = absl::ZeroDuration();
   write_not_before_ = absl::InfinitePast();
-  write_failure_noted_ = false;
-  trouble_noted_ = false;
-  moves_put_off_noted_ = false;
+  write_failure_reported_ = false;
+  renewed_for_degraded_store_ = false;
+  moves_deferred_reported_ = false;
   if (role_ == Role::kHolder) {
     if (outcome.attempt.epoch > epoch_) {
       epoch_ = outcome.attempt.epoch;
@@ -235,7 +237,7 @@
   epoch_ = attempt.epoch;
   fences_drawn_ = 0;
   sequence_ = 0;
-  lapse_noted_ = false;
+  lapse_reported_ = false;
   took_over_at_ = now;
   // The challenge succeeded at the version that was known then: whatever confirmed a predecessor's
   // lease last was sent before.
@@ -248,7 +250,7 @@
   }
   read_rows_.clear();
   map_changed_ = true;
-  Believe(belief::kLeaseAcquired, absl::StrCat("epoch ", epoch_));
+  ReportStateChange(state_change::kLeaseAcquired, absl::StrCat("epoch ", epoch_));
 }
 
 Coordinator::Impl::ServiceState& Coordinator::Impl::AddService(const std::string& name) {
@@ -268,10 +270,10 @@
   service.rows.Adopt(stored);
   service.committed = AssignmentTable(stored.row.assignments);
   // The predecessor's last grants were cut short, and end no later than a whole one of then.
-  const Time last_whole_grant = predecessor_until_ - (settings_.hold - LastHold());
-  service.table = RangeTable(stored.row.assignments, last_whole_grant);
+  const Time last_full_grant = predecessor_until_ - (settings_.hold - LastHold());
+  service.table = RangeTable(stored.row.assignments, last_full_grant);
   for (const std::string& fault : stored.faults) {
-    Believe(belief::kRowUnreadable, fault);
+    ReportStateChange(state_change::kRowUnreadable, fault);
   }
   for (const KeyRange& range : stored.unreadable) {
     WaitOutUnreadable(service, range, now);
@@ -291,37 +293,38 @@
 }
 
 void Coordinator::Impl::StepDown(std::string_view event, std::string detail, Time now) {
-  Believe(event, std::move(detail));
+  ReportStateChange(event, std::move(detail));
   role_ = Role::kStandby;
   services_.clear();
   orders_.Clear();
   chain_.Forfeit();
   write_backoff_ = absl::ZeroDuration();
   write_not_before_ = absl::InfinitePast();
-  watch_.OnOvertaken(std::nullopt, 0, now);
+  watch_.OnSuperseded(std::nullopt, 0, now);
   if (resign_by_) {
     role_ = Role::kResigned;
   }
 }
 
-void Coordinator::Impl::NoteLapse(Time now) {
+void Coordinator::Impl::ReportLeaseValidity(Time now) {
   const bool lapsed = !chain_.Valid(now);
-  if (lapsed == lapse_noted_) {
+  if (lapsed == lapse_reported_) {
     return;
   }
-  lapse_noted_ = lapsed;
-  Believe(lapsed ? belief::kLeaseLapsed : belief::kLeaseRegained, absl::StrCat("epoch ", epoch_));
+  lapse_reported_ = lapsed;
+  ReportStateChange(lapsed ? state_change::kLeaseLapsed : state_change::kLeaseRegained,
+                    absl::StrCat("epoch ", epoch_));
   if (!lapsed) {
     RenewAll(now);
-    AskAllSoon(now);
+    RunAllPartitionersSoon(now);
   }
 }
 
-void Coordinator::Impl::NoteTrouble(Time now) {
-  if (trouble_noted_ || !StoreTroubled(now)) {
+void Coordinator::Impl::RenewIfStoreDegraded(Time now) {
+  if (renewed_for_degraded_store_ || !StoreDegraded(now)) {
     return;
   }
-  trouble_noted_ = true;
+  renewed_for_degraded_store_ = true;
   RenewAll(now);
 }
 
@@ -336,7 +339,7 @@
   if (half_done && now < *resign_by_) {
     return false;
   }
-  StepDown(belief::kResigned, absl::StrCat("epoch ", epoch_), now);
+  StepDown(state_change::kResigned, absl::StrCat("epoch ", epoch_), now);
   return true;
 }
 
--- a/src/core/ownership/coordinator_moves.cc
+++ b/src/core/ownership/coordinator_moves.cc
@@ -15,20 +15,20 @@
 constexpr Duration kPartitionGap = absl::Milliseconds(50);
 
 /// How soon a successor that renews first looks again whether all owners have answered.
-constexpr Duration kRenewsFirstLook = absl::Milliseconds(20);
+constexpr Duration kFirstRenewalsRecheck = absl::Milliseconds(20);
 
 /// A service gets its first partition after this many settling times, even if its back ends still
 /// change; later as long as nobody asks for its keys, since a back end that comes after it is given
 /// keys only as load shows the need.
-constexpr int kMostSettlingTimes = 4;
-constexpr int kMostSettlingTimesUnasked = 16;
+constexpr int kMaxSettlingTimes = 4;
+constexpr int kMaxSettlingTimesWithoutRequests = 16;
 
 /// A store write that has gone unanswered for this share of its time-out puts the next ones in
 /// doubt. A sound store answers within a few hundredths of it.
 constexpr double kDoubtfulShare = 0.25;
 
 /// For this long after an owner was waited out, it may still take a grant that was sent to it.
-constexpr Duration kLingering = absl::Seconds(15);
+constexpr Duration kRepeatReleaseFor = absl::Seconds(15);
 
 std::string Describe(const RangeState& state) {
   return absl::StrCat(state.range.first, "-", state.range.last, " of ", state.owner);
@@ -48,25 +48,25 @@
   }
 }
 
-void Coordinator::Impl::NoteSilence(Time now) {
+void Coordinator::Impl::ReportUnresponsiveBackends(Time now) {
   for (const std::string& backend : directory_.TakeSilent(now)) {
-    Believe(belief::kOwnerSilent, backend);
-    AskAllSoon(now);
+    ReportStateChange(state_change::kOwnerSilent, backend);
+    RunAllPartitionersSoon(now);
   }
 }
 
-void Coordinator::Impl::BackendEnded(const std::string& backend, Time now) {
+void Coordinator::Impl::MarkBackendEnded(const std::string& backend, Time now) {
   if (directory_.HasEnded(backend)) {
     return;
   }
   directory_.MarkEnded(backend);
-  Believe(belief::kBackendEnded, backend);
+  ReportStateChange(state_change::kBackendEnded, backend);
   for (auto& [name, service] : services_) {
-    std::erase_if(service.lingering, [&backend](const LingeringRelease& release) {
+    std::erase_if(service.repeated_releases, [&backend](const RepeatedRelease& release) {
       return release.backend == backend;
     });
   }
-  AskAllSoon(now);
+  RunAllPartitionersSoon(now);
 }
 
 Time Coordinator::Impl::WaitOutEnd(const RangeState& state) const {
@@ -86,31 +86,32 @@
     const Key first = state->range.first;
     if (state->phase == RangePhase::kCommitting && !directory_.Accepts(state->next_owner) &&
         !chain_.Commits(service.name, state->next_fence)) {
-      Released(service, service.table.At(first), now);
+      OnReleased(service, service.table.At(first), now);
     }
     if (state->phase != RangePhase::kReleasing) {
       continue;
     }
     if (directory_.HasEnded(state->owner)) {
-      Released(service, service.table.At(first), now);
+      OnReleased(service, service.table.At(first), now);
     } else if (now >= WaitOutEnd(*state)) {
-      Believe(belief::kOwnerWaitedOut, absl::StrCat(service.name, " ", Describe(*state)));
+      ReportStateChange(state_change::kOwnerWaitedOut,
+                        absl::StrCat(service.name, " ", Describe(*state)));
       if (!state->owner.empty()) {
-        service.lingering.push_back(
-            {state->owner, state->range, state->next_fence, now, now + kLingering});
+        service.repeated_releases.push_back(
+            {state->owner, state->range, state->next_fence, now, now + kRepeatReleaseFor});
       }
-      Released(service, service.table.At(first), now);
+      OnReleased(service, service.table.At(first), now);
     }
   }
-  std::erase_if(service.lingering,
-                [now](const LingeringRelease& release) { return now >= release.until; });
+  std::erase_if(service.repeated_releases,
+                [now](const RepeatedRelease& release) { return now >= release.until; });
 }
 
-void Coordinator::Impl::Released(ServiceState& service, RangeState& state, Time now) {
+void Coordinator::Impl::OnReleased(ServiceState& service, RangeState& state, Time now) {
   if (!directory_.Accepts(state.next_owner)) {
     state.phase = RangePhase::kReleased;
     state.next_owner.clear();
-    AskSoon(service, now);
+    RunPartitionerSoon(service, now);
     return;
   }
   state.phase = RangePhase::kCommitting;
@@ -126,7 +127,8 @@
 
 void Coordinator::Impl::StartMove(ServiceState& service, RangeState& state, const std::string& to,
                                   Time now) {
-  Believe(belief::kMoveStarted, absl::StrCat(service.name, " ", Describe(state), " to ", to));
+  ReportStateChange(state_change::kMoveStarted,
+                    absl::StrCat(service.name, " ", Describe(state), " to ", to));
   MarkMoving(state, now);
   state.next_owner = to;
   state.next_fence = NextFence();
@@ -138,7 +140,7 @@
     state.handover.clear();
   }
   if (never_granted || directory_.HasEnded(state.owner)) {
-    Released(service, state, now);
+    OnReleased(service, state, now);
     return;
   }
   state.phase = RangePhase::kReleasing;
@@ -192,12 +194,12 @@
   }
 }
 
-void Coordinator::Impl::AskPartitioner(ServiceState& service, Time now) {
+void Coordinator::Impl::RunPartitioner(ServiceState& service, Time now) {
   if (now < service.partition_due || resign_by_) {
     return;
   }
-  if (RenewsFirst(service, now)) {
-    service.partition_due = now + kRenewsFirstLook;
+  if (AwaitsFirstRenewals(service, now)) {
+    service.partition_due = now + kFirstRenewalsRecheck;
     return;
   }
   service.partition_due = now + settings_.partition_interval;
@@ -210,7 +212,7 @@
   std::vector<partition::ProposedMove> moves;
   if (service.unpartitioned) {
     const Duration settle = settings_.registration_settle;
-    const int most = service.asked_for ? kMostSettlingTimes : kMostSettlingTimesUnasked;
+    const int most = service.has_requests ? kMaxSettlingTimes : kMaxSettlingTimesWithoutRequests;
     const Time due =
         std::min(backends_changed_at_ + settle, service.unpartitioned_since + settle * most);
     if (now < due) {
@@ -220,7 +222,8 @@
     moves = service.partitioner->Initial(backends);
     service.unpartitioned = moves.empty();
     service.table.At(0).next_fence = NextFence();
-    Believe(belief::kServicePartitioned, absl::StrCat(service.name, " in ", moves.size()));
+    ReportStateChange(state_change::kServicePartitioned,
+                      absl::StrCat(service.name, " in ", moves.size()));
   } else {
     Assignments view;
     std::vector<KeyRange> busy;
@@ -254,36 +257,36 @@
       state->phase = RangePhase::kCommitting;
       continue;
     }
-    const bool must = !directory_.Keeps(state->owner);
-    const bool may = must || *under_way < settings_.partition_weights.max_moves;
-    if (state->owner == move.to || !may) {
+    const bool required = !directory_.Keeps(state->owner);
+    const bool allowed = required || *under_way < settings_.partition_weights.max_moves;
+    if (state->owner == move.to || !allowed) {
       continue;
     }
-    if (!must && CommitsInDoubt(now)) {
-      NoteMovesPutOff(now);
+    if (!required && CommitsInDoubt(now)) {
+      ReportMovesDeferred(now);
       continue;
     }
     StartMove(service, *state, move.to, now);
-    *under_way += must ? 0 : 1;
+    *under_way += required ? 0 : 1;
   }
 }
 
 bool Coordinator::Impl::CommitsInDoubt(Time now) const {
   const std::vector<LeaseAttempt>& attempts = chain_.attempts();
-  return StoreTroubled(now) ||
+  return StoreDegraded(now) ||
          std::any_of(attempts.begin(), attempts.end(), [&](const LeaseAttempt& attempt) {
            return now - attempt.sent >= settings_.store_timeout * kDoubtfulShare;
          });
 }
 
-void Coordinator::Impl::NoteMovesPutOff(Time now) {
-  if (!moves_put_off_noted_) {
-    moves_put_off_noted_ = true;
-    Believe(belief::kMovesPutOff,
-            absl::StrCat("lease confirmed ",
-                         absl::FormatDuration(
-                             absl::Trunc(now - chain_.confirmed_sent(), absl::Milliseconds(1))),
-                         " ago, ", chain_.attempts().size(), " writes unanswered"));
+void Coordinator::Impl::ReportMovesDeferred(Time now) {
+  if (!moves_deferred_reported_) {
+    moves_deferred_reported_ = true;
+    ReportStateChange(state_change::kMovesPutOff,
+                      absl::StrCat("lease confirmed ",
+                                   absl::FormatDuration(absl::Trunc(now - chain_.confirmed_sent(),
+                                                                    absl::Milliseconds(1))),
+                                   " ago, ", chain_.attempts().size(), " writes unanswered"));
   }
 }
 
@@ -299,14 +302,14 @@
   return owners;
 }
 
-void Coordinator::Impl::AskSoon(ServiceState& service, Time now) {
+void Coordinator::Impl::RunPartitionerSoon(ServiceState& service, Time now) {
   service.partition_due =
       std::min(service.partition_due, std::max(now, service.partition_not_before));
 }
 
-void Coordinator::Impl::AskAllSoon(Time now) {
+void Coordinator::Impl::RunAllPartitionersSoon(Time now) {
   for (auto& [name, service] : services_) {
-    AskSoon(service, now);
+    RunPartitionerSoon(service, now);
   }
 }
 
--- a/src/core/ownership/coordinator_orders.cc
+++ b/src/core/ownership/coordinator_orders.cc
@@ -11,15 +11,15 @@
 namespace {
 
 /// How often the release of an owner that was waited out is repeated.
-constexpr Duration kLingeringInterval = absl::Seconds(2);
+constexpr Duration kReleaseRepeatInterval = absl::Seconds(2);
 
 /// Near the end of a lease that is not renewed, holds are renewed this many times as often.
-constexpr int kLastRenewals = 4;
+constexpr int kFinalRenewalFactor = 4;
 
 /// However many ranges there are, each is renewed within this share of its hold: with the defaults
 /// 1.35 s of 4.5 s, so that a successor still renews every owner in time (docs/DEPLOYING.md has the
 /// inequality).
-constexpr double kLatestRenewalShare = 0.3;
+constexpr double kMaxRenewalShare = 0.3;
 
 /// Renewals come up to this share of their interval sooner, so that those sent together once do not
 /// come due together for ever.
@@ -31,7 +31,7 @@
 constexpr size_t kOrdersPerStep = 32;
 
 /// For so long a successor leaves balancing alone while owners have not answered its first grants.
-constexpr Duration kRenewsFirst = absl::Milliseconds(500);
+constexpr Duration kFirstRenewalsTimeout = absl::Milliseconds(500);
 
 // Which orders a back end gets first.
 enum Urgency : int {
@@ -40,12 +40,12 @@
   /// Callers wait for these keys.
   kMove = 1,
   kRenew = 2,
-  kLingeringRelease = 3,
+  kRepeatedRelease = 3,
 };
 
 }  // namespace
 
-bool Coordinator::Impl::StoreTroubled(Time now) const {
+bool Coordinator::Impl::StoreDegraded(Time now) const {
   return now - chain_.confirmed_sent() >= 2 * settings_.lease_renewal;
 }
 
@@ -59,10 +59,10 @@
 
 Duration Coordinator::Impl::RenewalInterval(Time now) const {
   const Duration wanted =
-      LeaseEnds(now) ? settings_.hold_renewal / kLastRenewals : settings_.hold_renewal;
+      LeaseEnds(now) ? settings_.hold_renewal / kFinalRenewalFactor : settings_.hold_renewal;
   const Duration affordable =
       absl::Seconds(static_cast<double>(CountRanges()) / settings_.renewals_per_second);
-  return std::clamp(affordable, wanted, std::max(wanted, settings_.hold * kLatestRenewalShare));
+  return std::clamp(affordable, wanted, std::max(wanted, settings_.hold * kMaxRenewalShare));
 }
 
 Duration Coordinator::Impl::LastHold() const {
@@ -79,8 +79,8 @@
   return now >= LeaseUntil() - std::max(settings_.hold - LastHold(), settings_.hold_renewal);
 }
 
-bool Coordinator::Impl::RenewsFirst(const ServiceState& service, Time now) const {
-  if (now >= took_over_at_ + kRenewsFirst) {
+bool Coordinator::Impl::AwaitsFirstRenewals(const ServiceState& service, Time now) const {
+  if (now >= took_over_at_ + kFirstRenewalsTimeout) {
     return false;
   }
   const std::vector<const RangeState*> ranges = service.table.Unconfirmed();
@@ -132,9 +132,9 @@
       candidates->push_back({urgency, state->order_due, &service, state, nullptr});
     }
   }
-  for (LingeringRelease& release : service.lingering) {
+  for (RepeatedRelease& release : service.repeated_releases) {
     if (release.due <= now) {
-      candidates->push_back({kLingeringRelease, release.due, &service, nullptr, &release});
+      candidates->push_back({kRepeatedRelease, release.due, &service, nullptr, &release});
     }
   }
 }
@@ -151,11 +151,11 @@
                      return std::tie(one.urgency, one.due) < std::tie(other.urgency, other.due);
                    });
   blocked_.clear();
-  orders_left_ = false;
+  orders_deferred_ = false;
   size_t sent = 0;
   for (const OrderCandidate& candidate : candidates) {
     if (sent == kOrdersPerStep) {
-      orders_left_ = true;
+      orders_deferred_ = true;
       return;
     }
     sent += SendOrder(candidate, now) ? 1 : 0;
@@ -163,9 +163,11 @@
 }
 
 bool Coordinator::Impl::SendOrder(const OrderCandidate& candidate, Time now) {
-  const bool lingers = candidate.lingering != nullptr;
-  const std::string& backend = lingers ? candidate.lingering->backend : candidate.state->owner;
-  const KeyRange& range = lingers ? candidate.lingering->range : candidate.state->range;
+  const bool is_repeated_release = candidate.repeated_release != nullptr;
+  const std::string& backend =
+      is_repeated_release ? candidate.repeated_release->backend : candidate.state->owner;
+  const KeyRange& range =
+      is_repeated_release ? candidate.repeated_release->range : candidate.state->range;
   const KnownBackend* known = directory_.Find(backend);
   if (known == nullptr) {
     return false;
@@ -176,9 +178,9 @@
     return false;
   }
   ServiceState& service = *candidate.service;
-  if (lingers) {
-    candidate.lingering->due = now + kLingeringInterval;
-    SendRelease(service, backend, known->address, range, candidate.lingering->fence, now);
+  if (is_repeated_release) {
+    candidate.repeated_release->due = now + kReleaseRepeatInterval;
+    SendRelease(service, backend, known->address, range, candidate.repeated_release->fence, now);
   } else if (candidate.state->phase == RangePhase::kReleasing) {
     service.table.At(range.first).order_due = now + settings_.order_timeout;
     SendRelease(service, backend, known->address, range, candidate.state->next_fence, now);
@@ -220,10 +222,10 @@
   }
 }
 
-void Coordinator::Impl::NoteAnswer(const std::string& backend, Time now) {
+void Coordinator::Impl::OnBackendAnswered(const std::string& backend, Time now) {
   if (directory_.RecordAnswer(backend)) {
-    Believe(belief::kOwnerAnswers, backend);
-    AskAllSoon(now);
+    ReportStateChange(state_change::kOwnerAnswers, backend);
+    RunAllPartitionersSoon(now);
     AdvanceSoon(now);
   }
 }
@@ -235,11 +237,11 @@
   }
   switch (reply.status) {
     case OrderStatus::kDone:
-      NoteAnswer(order.backend, now);
+      OnBackendAnswered(order.backend, now);
       OnGrantDone(*service, order, now);
       return;
     case OrderStatus::kFenced:
-      NoteAnswer(order.backend, now);
+      OnBackendAnswered(order.backend, now);
       OnGrantFenced(*service, order, now);
       return;
     default:
@@ -269,12 +271,12 @@
       state.handover.clear();
       map_changed_ = true;
       AdvanceSoon(now);
-      Believe(belief::kMoveFinished,
-              absl::StrCat(service.name, " ", state.range.first, "-", state.range.last, " to ",
-                           state.owner, " fence ", state.fence));
+      ReportStateChange(state_change::kMoveFinished,
+                        absl::StrCat(service.name, " ", state.range.first, "-", state.range.last,
+                                     " to ", state.owner, " fence ", state.fence));
     }
   }
-  for (LingeringRelease& release : service.lingering) {
+  for (RepeatedRelease& release : service.repeated_releases) {
     if (release.backend == order.backend && Overlap(release.range, order.range)) {
       release.due = now;
       AdvanceSoon(now);
@@ -301,9 +303,10 @@
       state.next_fence = NextFence();
       state.refence_due = std::max(now, state.refence_due);
     }
-    Believe(belief::kOwnerFenced,
-            absl::StrCat(service.name, " ", state.range.first, "-", state.range.last, " of ",
-                         state.owner, " fence ", state.fence, ", next ", state.next_fence));
+    ReportStateChange(
+        state_change::kOwnerFenced,
+        absl::StrCat(service.name, " ", state.range.first, "-", state.range.last, " of ",
+                     state.owner, " fence ", state.fence, ", next ", state.next_fence));
   }
 }
 
@@ -335,16 +338,16 @@
     directory_.RecordUnansweredRelease(order.backend, now);
     return;
   }
-  NoteAnswer(order.backend, now);
+  OnBackendAnswered(order.backend, now);
   for (RangeState* found : service->table.Overlapping(order.range)) {
     RangeState& state = *found;
     if (state.phase == RangePhase::kReleasing && state.owner == order.backend &&
         state.next_fence == order.fence && Covers(order.range, state.range)) {
       state.handover = reply.handover;
-      Released(*service, state, now);
+      OnReleased(*service, state, now);
     }
   }
-  std::erase_if(service->lingering, [&order](const LingeringRelease& release) {
+  std::erase_if(service->repeated_releases, [&order](const RepeatedRelease& release) {
     return release.backend == order.backend && release.fence == order.fence &&
            Covers(order.range, release.range);
   });
--- a/src/core/ownership/holder_watch.cc
+++ b/src/core/ownership/holder_watch.cc
@@ -7,11 +7,11 @@
 namespace {
 
 /// How many ended incarnations are remembered.
-constexpr size_t kEndedRemembered = 32;
+constexpr size_t kMaxEndedIncarnations = 32;
 
 /// A holder that renews its lease but is not heard of here is challenged after this many heartbeat
 /// timeouts: it may be heard by nobody.
-constexpr int kUnheardTimeouts = 5;
+constexpr int kMaxMissedTimeouts = 5;
 
 /// Parts of the heartbeat timeout over which challengers are spread.
 constexpr double kMissingSpread = 0.25;
@@ -22,13 +22,13 @@
 /// enough.
 constexpr double kUnrenewedSpread = 1;
 
-constexpr Duration kFirstRetry = absl::Milliseconds(100);
-constexpr Duration kLastRetry = absl::Milliseconds(1600);
+constexpr Duration kMinRetryDelay = absl::Milliseconds(100);
+constexpr Duration kMaxRetryDelay = absl::Milliseconds(1600);
 
 /// A holder that could not renew, as nobody could, is left so long to do it when the store is back:
 /// it writes within 0.3 s, and knows how long each silent owner may hold, which a successor does
 /// not.
-constexpr Duration kReturnGrace = absl::Milliseconds(400);
+constexpr Duration kStoreRecoveryGrace = absl::Milliseconds(400);
 
 constexpr uint64_t kJitterSteps = 1024;
 
@@ -53,7 +53,7 @@
   return span * static_cast<double>(step) / static_cast<double>(kJitterSteps);
 }
 
-Duration HolderWatch::Reserve(Duration span) const {
+Duration HolderWatch::ChallengeDelay(Duration span) const {
   return settings_.challenge_delay + Jitter(span);
 }
 
@@ -66,7 +66,7 @@
 bool HolderWatch::DisprovesEnd(const LeaseView& view, Time now) const {
   return std::any_of(ended_.begin(), ended_.end(), [&](const Ended& ended) {
     return ended.incarnation == view.incarnation &&
-           (view.epoch > ended.epoch || now - ended.told_at >= settings_.heartbeat_timeout);
+           (view.epoch > ended.epoch || now - ended.reported_at >= settings_.heartbeat_timeout);
   });
 }
 
@@ -74,17 +74,17 @@
   if (version != observed_version_) {
     observed_version_ = version;
     observed_at_ = now;
-    const Duration patience = settings_.unrenewed_patience;
+    const Duration timeout = settings_.unrenewed_timeout;
     // Not sooner than one that falls silent then: where the store loses answers, holders that were
     // replaced early followed each other, and each waited anew for silent owners.
     unrenewed_due_ =
-        now + patience + settings_.heartbeat_timeout + Reserve(patience * kUnrenewedSpread);
+        now + timeout + settings_.heartbeat_timeout + ChallengeDelay(timeout * kUnrenewedSpread);
   }
 }
 
 bool HolderWatch::HolderUnrenewed(Time now) const {
   return holder_ && holder_->row_version != 0 && holder_->row_version == observed_version_ &&
-         now - observed_at_ >= settings_.unrenewed_patience;
+         now - observed_at_ >= settings_.unrenewed_timeout;
 }
 
 Time HolderWatch::KnownSince(store::RowVersion version, Time now) const {
@@ -107,8 +107,8 @@
   }
   missing_since_ = now;
   retry_delay_ = absl::ZeroDuration();
-  const Duration patience = settings_.heartbeat_timeout;
-  read_due_ = now + patience + Reserve(patience * kMissingSpread);
+  const Duration timeout = settings_.heartbeat_timeout;
+  read_due_ = now + timeout + ChallengeDelay(timeout * kMissingSpread);
   if (view.row_version != 0) {
     read_due_ = std::min(read_due_, unrenewed_due_);
   }
@@ -120,11 +120,11 @@
     return;
   }
   ended_.push_back({incarnation, holder_ ? holder_->epoch : 0, now});
-  if (ended_.size() > kEndedRemembered) {
+  if (ended_.size() > kMaxEndedIncarnations) {
     ended_.pop_front();
   }
   if (!holder_ || holder_->incarnation == incarnation) {
-    const Time due = now + Reserve(settings_.heartbeat_timeout * kEndedSpread);
+    const Time due = now + ChallengeDelay(settings_.heartbeat_timeout * kEndedSpread);
     read_due_ = std::min(read_due_, due);
   }
 }
@@ -134,28 +134,28 @@
       HasEnded(row->incarnation)) {
     return true;
   }
-  const Duration patience = settings_.heartbeat_timeout;
-  const bool was_away = std::exchange(store_was_away_, false);
-  if (version == observed_version_ && now - observed_at_ >= patience) {
-    if (was_away) {
-      read_due_ = now + kReturnGrace + Reserve(kReturnGrace * kEndedSpread);
+  const Duration timeout = settings_.heartbeat_timeout;
+  const bool was_unavailable = std::exchange(store_was_unavailable_, false);
+  if (version == observed_version_ && now - observed_at_ >= timeout) {
+    if (was_unavailable) {
+      read_due_ = now + kStoreRecoveryGrace + ChallengeDelay(kStoreRecoveryGrace * kEndedSpread);
     }
-    return !was_away;
+    return !was_unavailable;
   }
   if (!holder_ || holder_->incarnation != row->incarnation) {
     missing_since_ = now;
   }
   holder_ = ViewOf(*row, version);
-  if (now - missing_since_ >= patience * kUnheardTimeouts) {
+  if (now - missing_since_ >= timeout * kMaxMissedTimeouts) {
     return true;
   }
   Observe(version, now);
-  read_due_ = observed_at_ + patience + Reserve(patience * kMissingSpread);
+  read_due_ = observed_at_ + timeout + ChallengeDelay(timeout * kMissingSpread);
   return false;
 }
 
-void HolderWatch::OnOvertaken(const std::optional<LeaseRow>& row, store::RowVersion version,
-                              Time now) {
+void HolderWatch::OnSuperseded(const std::optional<LeaseRow>& row, store::RowVersion version,
+                               Time now) {
   holder_.reset();
   missing_since_ = now;
   retry_delay_ = absl::ZeroDuration();
@@ -163,20 +163,20 @@
     holder_ = ViewOf(*row, version);
     Observe(version, now);
   }
-  const Duration patience = settings_.heartbeat_timeout;
-  read_due_ = now + patience + Reserve(patience * kMissingSpread);
+  const Duration timeout = settings_.heartbeat_timeout;
+  read_due_ = now + timeout + ChallengeDelay(timeout * kMissingSpread);
 }
 
 void HolderWatch::Begin(Time now) {
-  read_due_ = std::min(read_due_, now + Reserve(settings_.heartbeat_timeout * kEndedSpread));
+  read_due_ = std::min(read_due_, now + ChallengeDelay(settings_.heartbeat_timeout * kEndedSpread));
 }
 
 void HolderWatch::OnFailure(Time now) {
-  store_was_away_ = true;
-  retry_delay_ = std::clamp(retry_delay_ * 2, kFirstRetry, kLastRetry);
+  store_was_unavailable_ = true;
+  retry_delay_ = std::clamp(retry_delay_ * 2, kMinRetryDelay, kMaxRetryDelay);
   read_due_ = now + retry_delay_ + Jitter(retry_delay_);
-  const Duration patience = settings_.unrenewed_patience;
-  unrenewed_due_ = std::max(unrenewed_due_, now + patience + Jitter(patience * kUnrenewedSpread));
+  const Duration timeout = settings_.unrenewed_timeout;
+  unrenewed_due_ = std::max(unrenewed_due_, now + timeout + Jitter(timeout * kUnrenewedSpread));
 }
 
 }  // namespace ladderstream::ownership
--- a/src/core/ownership/holder_watch.h
+++ b/src/core/ownership/holder_watch.h
@@ -33,7 +33,7 @@
   /// not, ReadDue() says when to look again.
   bool OnRow(const std::optional<LeaseRow>& row, store::RowVersion version, Time now);
   /// Another node won: waits for its heartbeats.
-  void OnOvertaken(const std::optional<LeaseRow>& row, store::RowVersion version, Time now);
+  void OnSuperseded(const std::optional<LeaseRow>& row, store::RowVersion version, Time now);
   /// The first look is due now.
   void Begin(Time now);
   /// The rows could not be read, or a challenge was refused: tries again later, ever more rarely.
@@ -54,7 +54,7 @@
   /// A share of `span` that differs from node to node, and is the same at each call.
   Duration Jitter(Duration span) const;
   /// For how long this node leaves a challenge to others.
-  Duration Reserve(Duration span) const;
+  Duration ChallengeDelay(Duration span) const;
   bool HasEnded(uint64_t incarnation) const;
   /// Whether a heartbeat shows that its sender has not ended, whatever was told.
   bool DisprovesEnd(const LeaseView& view, Time now) const;
@@ -67,7 +67,7 @@
     uint64_t incarnation = 0;
     /// The newest epoch known then.
     uint64_t epoch = 0;
-    Time told_at;
+    Time reported_at;
   };
   /// The newest ones.
   std::deque<Ended> ended_;
@@ -80,7 +80,7 @@
   Time unrenewed_due_ = absl::InfiniteFuture();
   Duration retry_delay_ = absl::ZeroDuration();
   /// The store could not be read lately, and perhaps not written by the holder either.
-  bool store_was_away_ = false;
+  bool store_was_unavailable_ = false;
 };
 
 }  // namespace ladderstream::ownership
--- a/src/gateway/settings/node_settings.cc
+++ b/src/gateway/settings/node_settings.cc
@@ -146,7 +146,7 @@
   ownership->hold_renewal *= share;
   ownership->lease *= share;
   ownership->lease_renewal *= share;
-  ownership->unrenewed_patience *= share;
+  ownership->unrenewed_timeout *= share;
   ownership->heartbeat_timeout *= share;
   ownership->store_timeout *= share;
   ownership->order_timeout *= share;
@@ -158,7 +158,7 @@
   reader->ReadDuration("ownership.lease", kOptional, kShort, &ownership->lease);
   reader->ReadDuration("ownership.lease_renewal", kOptional, kShort, &ownership->lease_renewal);
   reader->ReadDuration("ownership.unrenewed_patience", kOptional, kShort,
-                       &ownership->unrenewed_patience);
+                       &ownership->unrenewed_timeout);
   reader->ReadDuration("ownership.hold", kOptional, kShort, &ownership->hold);
   reader->ReadDuration("ownership.hold_renewal", kOptional, kShort, &ownership->hold_renewal);
   reader->ReadNumber("ownership.renewals_per_second", kOptional, kRate,
@@ -229,7 +229,7 @@
   size_t& row_bytes = settings.ownership.commit_limits.row_bytes;
   row_bytes = std::min<size_t>(row_bytes, settings.store.row_bytes);
   settings.membership.members_lease_reserve =
-      settings.ownership.lease - settings.ownership.unrenewed_patience;
+      settings.ownership.lease - settings.ownership.unrenewed_timeout;
   ReadForwarding(&reader, settings, &settings.forwarding);
   ReadReleasedRequest(&reader, &settings);
   CheckNodeSettings(settings, &reader);
--- a/src/gateway/settings/settings_checks.cc
+++ b/src/gateway/settings/settings_checks.cc
@@ -39,19 +39,19 @@
 /// lease ends.
 void CheckLease(const ownership::CoordinatorSettings& ownership, SettingsReader* reader) {
   const std::string patience =
-      absl::StrCat("ownership.unrenewed_patience = ", Show(ownership.unrenewed_patience));
+      absl::StrCat("ownership.unrenewed_patience = ", Show(ownership.unrenewed_timeout));
   const Duration needed = ownership.lease_renewal + 2 * ownership.store_timeout;
-  if (ownership.unrenewed_patience < needed) {
+  if (ownership.unrenewed_timeout < needed) {
     reader->AddInconsistency(
         patience, absl::StrCat("at least lease_renewal + 2 x store_timeout = ", Show(needed)));
   }
-  if (ownership.unrenewed_patience > ownership.lease) {
+  if (ownership.unrenewed_timeout > ownership.lease) {
     reader->AddInconsistency(patience, absl::StrCat("at most lease = ", Show(ownership.lease)));
   }
-  if (ownership.heartbeat_timeout >= ownership.unrenewed_patience) {
+  if (ownership.heartbeat_timeout >= ownership.unrenewed_timeout) {
     reader->AddInconsistency(
         absl::StrCat("ownership.heartbeat_timeout = ", Show(ownership.heartbeat_timeout)),
-        absl::StrCat("less than unrenewed_patience = ", Show(ownership.unrenewed_patience)));
+        absl::StrCat("less than unrenewed_patience = ", Show(ownership.unrenewed_timeout)));
   }
 }
 
@@ -62,7 +62,7 @@
 void CheckHold(const NodeSettings& settings, SettingsReader* reader) {
   const ownership::CoordinatorSettings& ownership = settings.ownership;
   const Duration needed = ownership.hold_renewal +
-                          ownership.unrenewed_patience * (1 + ownership.clock_drift) +
+                          ownership.unrenewed_timeout * (1 + ownership.clock_drift) +
                           ownership.store_timeout;
   if (ownership.hold <= needed) {
     reader->AddInconsistency(
--- a/src/node/control_plane.h
+++ b/src/node/control_plane.h
@@ -99,7 +99,7 @@
   void Carry(const ownership::GrantAction& grant) { orders_.Send(grant); }
   void Carry(const ownership::ReleaseAction& release) { orders_.Send(release); }
   void Carry(const ownership::PublishAction& publish);
-  void Carry(const ownership::BeliefAction& belief) { beliefs_->OnCoordinatorBelief(belief); }
+  void Carry(const ownership::StateChangeAction& belief) { beliefs_->OnCoordinatorBelief(belief); }
 
   // Actions of the membership.
   void Carry(const membership::SendAction& send);
--- a/src/node/load_exchange.cc
+++ b/src/node/load_exchange.cc
@@ -85,7 +85,7 @@
                                    absl::Milliseconds(report.rest_ms[i]), now);
     }
     for (const uint32_t key : report.denied_keys) {
-      coordinator->OnOwnerDenied(report.service, key, now);
+      coordinator->OnNotOwner(report.service, key, now);
     }
   }
 }
--- a/src/observability/belief_log.cc
+++ b/src/observability/belief_log.cc
@@ -178,7 +178,7 @@
        EventField(FieldName::kDetail, belief.detail)});
 }
 
-void BeliefLog::OnCoordinatorBelief(const ownership::BeliefAction& belief) {
+void BeliefLog::OnCoordinatorBelief(const ownership::StateChangeAction& belief) {
   metrics_->CountBelief(belief.event);
   log_->Write(EventName::kCoordinatorBelief, {EventField(FieldName::kBelief, belief.event),
                                               EventField(FieldName::kDetail, belief.detail),
--- a/src/observability/belief_log.h
+++ b/src/observability/belief_log.h
@@ -56,7 +56,7 @@
   void OnBackendBelief(const forwarding::BackendBelief& belief);
   /// Those that changed together; many registrations make one line.
   void OnBackendBeliefs(const std::vector<forwarding::BackendBelief>& beliefs);
-  void OnCoordinatorBelief(const ownership::BeliefAction& belief);
+  void OnCoordinatorBelief(const ownership::StateChangeAction& belief);
 
   /// Each call of the store tells whether it was reached; lines are written when that changes.
   void OnStoreReached(uint64_t store_version, Time now);
--- a/tests/replay/replayed_nodes.cc
+++ b/tests/replay/replayed_nodes.cc
@@ -141,7 +141,7 @@
                         [&](const ownership::PublishAction& publish) {
                           After(kBetweenNodes, [this, map = publish.map] { Publish(map); });
                         },
-                        [&](const ownership::BeliefAction& belief) {
+                        [&](const ownership::StateChangeAction& belief) {
                           if (belief.event == "resigned") {
                             TellEnded(nodes_[index].incarnation);
                           }
--- a/tests/replay/replayer.cc
+++ b/tests/replay/replayer.cc
@@ -188,7 +188,7 @@
     return;
   }
   if (Node* const holder = Holder()) {
-    holder->coordinator->OnOwnerDenied(request.service, request.key, now_);
+    holder->coordinator->OnNotOwner(request.service, request.key, now_);
     Drain(static_cast<size_t>(holder - nodes_.data()));
   }
   TryAgain(request, kRetryDelay);
--- a/tests/unit/ownership/balance_during_waits_test.cc
+++ b/tests/unit/ownership/balance_during_waits_test.cc
@@ -10,12 +10,12 @@
 
 constexpr size_t kBackends = 40;
 /// More than may be moved for balance at a time, and fewer than half of all.
-constexpr size_t kSilent = 18;
+constexpr size_t kUnresponsive = 18;
 
 BOOST_AUTO_TEST_CASE(KeysOfSilentOwnersDoNotKeepOthersFromMoving) {
   ModelStore store;
   Harness node(&store, 1, 1, absl::UnixEpoch());
-  BOOST_REQUIRE(kSilent > node.settings.partition_weights.max_moves);
+  BOOST_REQUIRE(kUnresponsive > node.settings.partition_weights.max_moves);
   std::vector<std::string> ids;
   ids.reserve(kBackends);
   for (size_t i = 0; i < kBackends; ++i) {
@@ -23,11 +23,11 @@
   }
   node.Settle(ids);
   // Every other one: the published map joins neighbouring ranges that move.
-  for (size_t i = 0; i < kSilent; ++i) {
-    node.silent.insert(ids[2 * i]);
+  for (size_t i = 0; i < kUnresponsive; ++i) {
+    node.unresponsive.insert(ids[2 * i]);
   }
   // Long enough to be taken as silent, and far from the end of their holds.
-  node.Run(node.settings.hold_renewal + node.settings.silence_patience +
+  node.Run(node.settings.hold_renewal + node.settings.unresponsive_timeout +
            node.settings.partition_interval * 2);
   BOOST_REQUIRE(node.published.services.at(Harness::kService).moving.size() >=
                 node.settings.partition_weights.max_moves);
--- a/tests/unit/ownership/coordinator_harness.cc
+++ b/tests/unit/ownership/coordinator_harness.cc
@@ -69,7 +69,7 @@
           store::StoreReply refused;
           refused.status = store::StoreStatus::kRefused;
           coordinator.OnStoreReply(commit->call, refused, now);
-        } else if (store_answers || store_mute) {
+        } else if (store_answers || store_loses_answers) {
           const store::StoreReply reply = store->Apply(commit->transaction);
           if (store_answers) {
             coordinator.OnStoreReply(commit->call, reply, now);
@@ -88,8 +88,8 @@
         Order(release->call, release->backend, "handover of " + release->backend);
       } else if (const auto* publish = std::get_if<PublishAction>(&action)) {
         published = publish->map;
-      } else if (const auto* belief = std::get_if<BeliefAction>(&action)) {
-        beliefs.push_back({now, *belief});
+      } else if (const auto* state_change = std::get_if<StateChangeAction>(&action)) {
+        state_changes.push_back({now, *state_change});
       }
     }
   }
@@ -98,7 +98,7 @@
 void Harness::Order(CallId call, const std::string& backend, const std::string& handover) {
   if (unreachable.contains(backend)) {
     coordinator.OnOrderReply(call, {OrderStatus::kUnreachable, ""}, now);
-  } else if (!silent.contains(backend)) {
+  } else if (!unresponsive.contains(backend)) {
     coordinator.OnOrderReply(call, {OrderStatus::kDone, handover}, now);
   }
 }
@@ -120,10 +120,11 @@
                      [key](const KeyRange& range) { return range.Contains(key); });
 }
 
-bool Harness::Believed(const std::string& event) const {
-  return std::any_of(beliefs.begin(), beliefs.end(), [&event](const At<BeliefAction>& belief) {
-    return belief.sent.event == event;
-  });
+bool Harness::Reported(const std::string& event) const {
+  return std::any_of(state_changes.begin(), state_changes.end(),
+                     [&event](const At<StateChangeAction>& state_change) {
+                       return state_change.sent.event == event;
+                     });
 }
 
 }  // namespace ladderstream::ownership
--- a/tests/unit/ownership/coordinator_harness.h
+++ b/tests/unit/ownership/coordinator_harness.h
@@ -41,7 +41,7 @@
   std::vector<At<GrantAction>> GrantsSince(Time since) const;
   const std::string& OwnerOf(Key key) const;
   bool IsMoving(Key key) const;
-  bool Believed(const std::string& event) const;
+  bool Reported(const std::string& event) const;
 
   static constexpr char kService[] = "boards";
 
@@ -56,9 +56,9 @@
   /// The store answers at once that it does nothing.
   bool store_refuses = false;
   /// The store takes transactions, and their answers are lost.
-  bool store_mute = false;
+  bool store_loses_answers = false;
   /// These leave orders unanswered.
-  std::set<std::string> silent;
+  std::set<std::string> unresponsive;
   /// Nothing listens at the address of these.
   std::set<std::string> unreachable;
 
@@ -66,7 +66,7 @@
   std::vector<At<ReleaseAction>> releases;
   std::vector<At<CommitAction>> commits;
   size_t reads = 0;
-  std::vector<At<BeliefAction>> beliefs;
+  std::vector<At<StateChangeAction>> state_changes;
   OwnershipMap published;
 
  private:
--- a/tests/unit/ownership/lease_test.cc
+++ b/tests/unit/ownership/lease_test.cc
@@ -52,7 +52,7 @@
     Harness node(&store, 1, 1, kStart);
     node.Settle({"a", "b"});
     node.store_answers = false;
-    node.silent = {"a", "b"};
+    node.unresponsive = {"a", "b"};
     node.Run(node.settings.lease_renewal + node.settings.hold_renewal);
     const At<CommitAction> commit = node.commits.back();
     const At<GrantAction> grant = node.grants.back();
@@ -207,7 +207,7 @@
   second.Register({"a", "b"});
   const Time heard = second.now;
   second.coordinator.OnHeartbeat(first.coordinator.View(), heard);
-  second.silent.insert("a");
+  second.unresponsive.insert("a");
   second.Run(absl::Seconds(12));
   const auto granted = second.GrantsSince(heard);
   const auto moved = std::find_if(granted.begin(), granted.end(), [](const At<GrantAction>& grant) {
@@ -228,7 +228,7 @@
   Harness second(&store, 2, 2, first.now);
   second.Settle({"a"});
   first.Run(absl::Seconds(1));
-  BOOST_TEST(first.Believed(belief::kLeaseLost));
+  BOOST_TEST(first.Reported(state_change::kLeaseLost));
   const Time deposed = first.now;
   first.Run(absl::Milliseconds(600));
   BOOST_TEST(first.GrantsSince(deposed).empty());
@@ -246,12 +246,12 @@
   const Time last_grant = node.grants.back().at;
   BOOST_TEST((last_grant < last_write + node.settings.lease));
   BOOST_TEST((last_grant >= last_write + node.settings.lease - settings.hold_renewal / 4));
-  BOOST_TEST(node.Believed(belief::kLeaseLapsed));
+  BOOST_TEST(node.Reported(state_change::kLeaseLapsed));
   const Time troubled = last_write + 2 * node.settings.lease_renewal;
   BOOST_TEST((node.GrantsSince(troubled).front().at < troubled + absl::Milliseconds(10)));
   node.store_answers = true;
   node.Run(absl::Seconds(2));
-  BOOST_TEST(node.Believed(belief::kLeaseRegained));
+  BOOST_TEST(node.Reported(state_change::kLeaseRegained));
   BOOST_TEST((node.grants.back().at > last_grant));
 }
 
@@ -272,25 +272,25 @@
     highest = std::max(highest, grant.sent.fence);
   }
   BOOST_TEST(highest > FenceOf(2, 0));
-  BOOST_TEST(!node.Believed(belief::kLeaseLost));
+  BOOST_TEST(!node.Reported(state_change::kLeaseLost));
 }
 
 BOOST_AUTO_TEST_CASE(AResignedNodeFinishesMovesAndNeverHoldsAgain) {
   ModelStore store;
   Harness node(&store, 1, 1, kStart);
   node.Settle({"a", "b"});
-  node.silent.insert("a");
+  node.unresponsive.insert("a");
   partition::Script().next = {{{0, 99}, "b"}};
   node.Run(absl::Milliseconds(500));
   BOOST_TEST(node.IsMoving(0));
   node.coordinator.Resign(node.now);
   node.Drain();
   BOOST_TEST(node.coordinator.Holds(node.now));
-  node.silent.clear();
+  node.unresponsive.clear();
   node.Run(absl::Milliseconds(500));
   BOOST_TEST(node.OwnerOf(0) == "b");
   BOOST_TEST(!node.coordinator.Holds(node.now));
-  BOOST_TEST(node.Believed(belief::kResigned));
+  BOOST_TEST(node.Reported(state_change::kResigned));
   node.Run(absl::Seconds(20));
   BOOST_TEST(!node.coordinator.Holds(node.now));
 }
--- a/tests/unit/ownership/model_invariants.cc
+++ b/tests/unit/ownership/model_invariants.cc
@@ -72,9 +72,8 @@
         continue;
       }
       After(DrawMs(2, 250), [this, i, to = nodes_[i].incarnation, service, key] {
-        ToNode(i, to, [this, i, service, key] {
-          nodes_[i].coordinator->OnOwnerDenied(service, key, now_);
-        });
+        ToNode(i, to,
+               [this, i, service, key] { nodes_[i].coordinator->OnNotOwner(service, key, now_); });
       });
     }
   });
--- a/tests/unit/ownership/outage_test.cc
+++ b/tests/unit/ownership/outage_test.cc
@@ -112,12 +112,12 @@
   const LeaseView view{3, 9, {"node", 9}, 40};
   Time now = kStart;
   watch.OnHeartbeat(view, now);
-  for (; now < kStart + settings.unrenewed_patience; now += kHeartbeats) {
+  for (; now < kStart + settings.unrenewed_timeout; now += kHeartbeats) {
     watch.OnHeartbeat(view, now);
     BOOST_TEST(!watch.HolderUnrenewed(now));
     BOOST_TEST((watch.ReadDue() > now));
   }
-  for (; now < kStart + 2 * settings.unrenewed_patience + settings.heartbeat_timeout;
+  for (; now < kStart + 2 * settings.unrenewed_timeout + settings.heartbeat_timeout;
        now += kHeartbeats) {
     watch.OnHeartbeat(view, now);
   }
@@ -142,8 +142,8 @@
   standby.Register({"a", "b"});
   holder.store_answers = false;
   const Time alone = holder.now;
-  const Duration patience = holder.settings.unrenewed_patience;
-  while (!standby.coordinator.Holds(standby.now) && holder.now < alone + 3 * patience) {
+  const Duration timeout = holder.settings.unrenewed_timeout;
+  while (!standby.coordinator.Holds(standby.now) && holder.now < alone + 3 * timeout) {
     if (holder.coordinator.Holds(holder.now)) {
       standby.coordinator.OnHeartbeat(holder.coordinator.View(), standby.now);
     }
@@ -151,8 +151,8 @@
     standby.Run(kStep);
   }
   BOOST_TEST(standby.coordinator.Holds(standby.now));
-  BOOST_TEST((standby.now - alone >= patience - kStep));
-  BOOST_TEST((standby.now - alone <= 2 * patience + holder.settings.heartbeat_timeout + kStep));
+  BOOST_TEST((standby.now - alone >= timeout - kStep));
+  BOOST_TEST((standby.now - alone <= 2 * timeout + holder.settings.heartbeat_timeout + kStep));
   holder.coordinator.OnHeartbeat(standby.coordinator.View(), holder.now);
   BOOST_TEST(!holder.coordinator.Holds(holder.now));
 }
--- a/tests/unit/ownership/renewals_test.cc
+++ b/tests/unit/ownership/renewals_test.cc
@@ -37,7 +37,7 @@
   ModelStore store;
   Harness node(&store, 1, 1, kStart);
   // Answers would bring the next step within the same moment.
-  node.silent.insert(ids.begin(), ids.end());
+  node.unresponsive.insert(ids.begin(), ids.end());
   node.Register(ids);
   while (node.grants.size() < ids.size()) {
     node.Run(absl::Milliseconds(1));
@@ -55,7 +55,7 @@
 BOOST_AUTO_TEST_CASE(AnAnsweredRenewalChangesNothingThatIsLookedAt) {
   Holding holding({"a", "b"});
   Harness& node = holding.node;
-  node.silent.insert("a");
+  node.unresponsive.insert("a");
   const size_t before = node.grants.size();
   while (node.grants.size() == before || node.grants.back().sent.backend != "a") {
     node.Run(absl::Milliseconds(1));
@@ -90,18 +90,18 @@
   const Time taken = holding.node.now;
   Harness successor(&holding.store, 2, 2, taken);
   partition::Script().next = {{{100, 199}, "b"}};
-  successor.silent = {"a"};
+  successor.unresponsive = {"a"};
   successor.Register({"a", "b"});
   successor.coordinator.OnCoordinatorEnded(1, taken);
-  while (!successor.Believed(belief::kLeaseAcquired)) {
+  while (!successor.Reported(state_change::kLeaseAcquired)) {
     successor.Run(absl::Milliseconds(1));
   }
   const Time acquired = successor.now;
   successor.Run(absl::Milliseconds(300));
-  BOOST_TEST(!successor.Believed(belief::kMoveStarted));
+  BOOST_TEST(!successor.Reported(state_change::kMoveStarted));
   BOOST_TEST((successor.now - acquired >= absl::Milliseconds(300)));
   successor.Run(absl::Milliseconds(800));
-  BOOST_TEST(successor.Believed(belief::kMoveStarted));
+  BOOST_TEST(successor.Reported(state_change::kMoveStarted));
 }
 
 }  // namespace
--- a/tests/unit/ownership/restart_test.cc
+++ b/tests/unit/ownership/restart_test.cc
@@ -50,7 +50,7 @@
     BOOST_TEST(grant.sent.backend == "a@2");
     BOOST_TEST(grant.sent.fence > before);
   }
-  BOOST_TEST(!node.Believed(std::string(belief::kOwnerWaitedOut)));
+  BOOST_TEST(!node.Reported(std::string(state_change::kOwnerWaitedOut)));
 }
 
 BOOST_AUTO_TEST_CASE(ARestartAtAnotherAddressProvesTheEndOfTheEarlierOne) {
@@ -59,7 +59,7 @@
   const Fence before = HighestFence();
   node.RegisterBackends({MakeBackend("a@2", "b")});
   node.Run(absl::Seconds(1));
-  BOOST_TEST(node.Believed(std::string(belief::kBackendEnded)));
+  BOOST_TEST(node.Reported(std::string(state_change::kBackendEnded)));
   BOOST_TEST(node.OwnerOf(7) == "a@2");
   BOOST_TEST(node.grants.back().sent.fence > before);
 }
--- a/tests/unit/ownership/service_rows_test.cc
+++ b/tests/unit/ownership/service_rows_test.cc
@@ -151,7 +151,7 @@
   ModelStore store;
   Harness node(&store, 1, 1, kStart);
   node.Settle(OwnerNames(kOwners));
-  BOOST_TEST(!node.Believed(belief::kCommitRejected));
+  BOOST_TEST(!node.Reported(state_change::kCommitRejected));
   BOOST_TEST(LongestRow(store) <= CommitLimits().row_bytes);
   std::set<std::string> granted;
   for (const At<GrantAction>& grant : node.grants) {
@@ -182,7 +182,7 @@
     BOOST_TEST(rejected.insert(content).second);
   }
   BOOST_TEST(!rejected.empty());
-  BOOST_TEST(node.Believed(belief::kCommitRejected));
+  BOOST_TEST(node.Reported(state_change::kCommitRejected));
   BOOST_TEST(node.coordinator.Holds(node.now));
 }
 
@@ -191,7 +191,7 @@
   store.SetBounds({.row_bytes = 2000});
   Harness node(&store, 1, 1, kStart);
   node.Settle(OwnerNames(100));
-  BOOST_TEST(node.Believed(belief::kCommitRejected));
+  BOOST_TEST(node.Reported(state_change::kCommitRejected));
   BOOST_TEST(LongestRow(store) <= 2000U);
   BOOST_TEST(node.OwnerOf(0) == OwnerName(0));
   BOOST_TEST(node.OwnerOf(kLastKey) == OwnerName(99));
@@ -207,7 +207,7 @@
   successor.Register(OwnerNames(kOwners));
   successor.coordinator.OnCoordinatorEnded(1, successor.now);
   successor.Run(absl::Seconds(2));
-  BOOST_TEST(successor.Believed(belief::kRowUnreadable));
+  BOOST_TEST(successor.Reported(state_change::kRowUnreadable));
   BOOST_TEST(successor.OwnerOf(kLastKey) == OwnerName(kOwners - 1));
   BOOST_TEST(successor.OwnerOf(0).empty());
   for (const At<GrantAction>& grant : successor.grants) {
