--- a/src/core/ownership/belief_events.h
+++ b/src/core/ownership/belief_events.h
@@ -1,63 +1,64 @@
-// The names of everything a coordinator reports as a change of what it believes. A
-// StateChangeAction's `event` is always one of these.
+// Names of the state changes that a coordinator reports. The `event` of a StateChangeAction is
+// always one of these.
 #pragma once
 
 namespace ladderstream::ownership::state_change {
 
 // The lease.
 
-/// A heartbeat or a row showed another holder than the one known before.
+/// A heartbeat or a row named a new holder.
 inline constexpr char kHolderChanged[] = "holder_changed";
-/// The holder seems to be missing; this node challenges the lease.
+/// The holder appears to be missing, and this node challenges the lease.
 inline constexpr char kLeaseChallenged[] = "lease_challenged";
-/// This node holds the lease from now on.
+/// This node acquired the lease.
 inline constexpr char kLeaseAcquired[] = "lease_acquired";
-/// A write to the store was refused or had no answer; told for the first of several in a row.
+/// A write to the store was refused or not answered; reported for the first of consecutive
+/// failures.
 inline constexpr char kStoreWriteFailed[] = "store_write_failed";
-/// The store refused a transaction for what it held, too large or malformed. It is not sent again
-/// as it is.
+/// The store rejected a transaction as too large or malformed. It is not resent unchanged.
 inline constexpr char kCommitRejected[] = "commit_rejected";
-/// The lease ran out without a confirmed renewal. Nothing is sent until one is confirmed.
+/// The lease expired without a confirmed renewal. No orders are sent until one is confirmed.
 inline constexpr char kLeaseLapsed[] = "lease_lapsed";
-/// A lapsed lease was renewed before another node took it.
+/// An expired lease was renewed before another node acquired it.
 inline constexpr char kLeaseRegained[] = "lease_regained";
-/// Another node holds the lease now.
+/// Another node acquired the lease.
 inline constexpr char kLeaseLost[] = "lease_lost";
-/// The lease was given up on purpose.
+/// This node gave up the lease for a planned stop.
 inline constexpr char kResigned[] = "resigned";
-/// A row of the store cannot be read.
+/// A row of the store cannot be decoded.
 inline constexpr char kRowUnreadable[] = "row_unreadable";
 
 // Keys.
 
-/// A service has its first owners.
+/// A service got its first owners.
 inline constexpr char kServicePartitioned[] = "service_partitioned";
-/// Changes of owners or fences are in the store.
+/// Changes of owners or fences were committed to the store.
 inline constexpr char kAssignmentsCommitted[] = "assignments_committed";
-/// An owner is told to release keys that another back end shall get.
+/// A move of keys to another back end began.
 inline constexpr char kMoveStarted[] = "move_started";
-/// Moves that are not needed wait, since a write to the store is unanswered; told once until one is
-/// confirmed.
+/// Optional moves are deferred because a write to the store is unanswered; reported once until a
+/// write is confirmed.
 inline constexpr char kMovesPutOff[] = "moves_put_off";
-/// The new owner of moved keys has confirmed its grant.
+/// The new owner of moved keys confirmed its grant.
 inline constexpr char kMoveFinished[] = "move_finished";
-/// A refused grant showed that the owner has seen a higher fence: the keys get a new one.
+/// An owner refused a grant because it has seen a higher fence; the keys get a new fence.
 inline constexpr char kOwnerFenced[] = "owner_fenced";
-/// An owner told a node that it does not hold keys that the map says it holds.
+/// An owner rejected a request as not the owner of a key that the map assigns to it.
 inline constexpr char kOwnerDenied[] = "owner_denied";
-/// The hold of an owner that never answered has surely run out.
+/// The hold of an owner that did not answer its release has expired.
 inline constexpr char kOwnerWaitedOut[] = "owner_waited_out";
-/// Neighbouring ranges of one owner get one fence.
+/// Neighbouring ranges of one owner get a common fence.
 inline constexpr char kRangesMerged[] = "ranges_merged";
 
 // Back ends.
 
-/// A back end leaves orders unanswered: it gets no keys for a while, and loses those it has.
+/// A back end leaves orders unanswered: it loses its keys and gets none for a while.
 inline constexpr char kOwnerSilent[] = "owner_silent";
+/// A back end with free slots declines requests.
 inline constexpr char kOwnerDeclines[] = "owner_declines";
-/// A silent back end answered again.
+/// An unresponsive back end answered again.
 inline constexpr char kOwnerAnswers[] = "owner_answers";
-/// It is proven that a back end has ended.
+/// A back end is proven to have ended.
 inline constexpr char kBackendEnded[] = "backend_ended";
 
 }  // namespace ladderstream::ownership::state_change
--- a/src/core/ownership/commit_limits.h
+++ b/src/core/ownership/commit_limits.h
@@ -1,4 +1,4 @@
-// What one transaction of a coordinator may write.
+// Limits of one transaction of a coordinator.
 #pragma once
 
 #include <algorithm>
@@ -6,24 +6,26 @@
 
 namespace ladderstream::ownership {
 
-/// Far below what the store takes: 100 entries, of which each row needs two (a condition and a
-/// value), and 1 MB, of which base64 takes a quarter.
+/// Far below the limits of the store: 100 entries, of which each row uses two (a condition and a
+/// value), and 1 MB, of which base64 encoding uses a quarter.
 struct CommitLimits {
-  /// Of one row's value. A change rewrites the rows that it touches, so shorter ones cost less.
+  /// Maximum size of one row's value. A change rewrites every row that it touches, so shorter rows
+  /// cost less.
   size_t row_bytes = 8192;
   size_t rows = 40;
   size_t changes = 2048;
 
-  /// A transaction of `change_count` changes was refused as malformed or too large: the next ones
-  /// are half as large.
+  /// Halves the limits after the store rejected a transaction of `change_count` changes as
+  /// malformed or too large.
   void Tighten(size_t change_count);
-  /// How many rows of a service one change may touch, so that it fits even if each of them is cut.
+  /// Returns how many rows of a service one change may touch so that it fits even if every one of
+  /// them is split.
   size_t RowsOfChange() const;
 };
 
 inline void CommitLimits::Tighten(size_t change_count) {
   constexpr size_t kMinRowBytes = 512;
-  // A row that is cut in two, the head row, and one to spare.
+  // A row split in two, the head row, and one spare.
   constexpr size_t kMinRows = 4;
   row_bytes = std::max(row_bytes / 2, kMinRowBytes);
   rows = std::max(rows / 2, kMinRows);
@@ -31,7 +33,7 @@
 }
 
 inline size_t CommitLimits::RowsOfChange() const {
-  // More parts than one change makes of a row.
+  // Above the largest number of parts into which one change splits a row.
   constexpr size_t kPartsOfRow = 8;
   return std::max<size_t>(rows / kPartsOfRow, 1);
 }
--- a/src/core/ownership/coordinator.cc
+++ b/src/core/ownership/coordinator.cc
@@ -11,7 +11,7 @@
 namespace ladderstream::ownership {
 namespace {
 
-/// A planned stop waits at most this long for what is half done.
+/// Maximum time that a planned stop waits for unfinished writes and moves.
 constexpr Duration kMaxResignDelay = absl::Milliseconds(1500);
 
 }  // namespace
@@ -46,7 +46,7 @@
   const RegistrationChanges found = directory_.Update(changes, listed_);
   for (const std::string& ended : found.ended) {
     ReportStateChange(state_change::kBackendEnded,
-                      absl::StrCat(ended, " by a newer one at its address"));
+                      absl::StrCat(ended, " was replaced by a newer back end at its address"));
   }
   if (directory_.RemembersMany()) {
     ForgetUnneededBackends();
@@ -300,7 +300,7 @@
 
 Time Coordinator::Impl::ServiceWake(const ServiceState& service, Time now) const {
   Time wake = absl::InfiniteFuture();
-  // What is overdue waits for an event: an answer, the catalog, a time-out of its own.
+  // Overdue work waits for an event: an answer, a catalog change, or a time-out with its own wake.
   const auto consider = [&wake, now](Time due) {
     if (due > now) {
       wake = std::min(wake, due);
--- a/src/core/ownership/coordinator.h
+++ b/src/core/ownership/coordinator.h
@@ -1,8 +1,9 @@
 // The coordinator: holds a lease in the metadata store, commits assignments under it, grants them
 // to back ends, renews the grants, and moves keys.
 //
-// Pure: events and time in, actions out; no I/O, no thread, no clock. Every node has one; at most
-// one of them holds the lease at a time. docs/design/013 says why no key ever has two owners.
+// Coordinator is a deterministic state machine: it takes events and the current time and returns
+// actions. It does no I/O, starts no thread and reads no clock. Every node has one; at most one of
+// them holds the lease at a time. docs/design/013 explains why no key ever has two owners.
 #pragma once
 
 #include <cstdint>
@@ -25,77 +26,79 @@
 namespace ladderstream::ownership {
 
 struct CoordinatorSettings {
-  /// Where the lease and the assignments are kept.
+  /// Table and partition of the store that hold the lease and the assignments.
   std::string table = "ownership";
   std::string partition = "ownership";
-  /// How long after the send of a confirmed lease write the coordinator may act. Long enough that
-  /// it goes on renewing holds and confirming its map while the store is away: with the use of the
-  /// last map behind it, callers find owners for 8.9 s after the last write. Not longer, since a
-  /// successor waits for it before it moves the keys of an owner that does not answer.
+  /// Validity of the lease, counted from the send of a confirmed lease write. It is long enough for
+  /// the coordinator to renew holds and confirm its map during a store outage: with the time for
+  /// which nodes use the last map, requests are routed to owners for 8.9 s after the last write. It
+  /// is no longer because a successor waits for it to end before it moves the keys of an
+  /// unresponsive owner.
   Duration lease = absl::Milliseconds(6500);
   Duration lease_renewal = absl::Milliseconds(800);
-  /// A holder that is heard of, but whose lease row was not renewed for this long, is challenged:
-  /// it may be the only one that the store does not answer.
+  /// A holder that sends heartbeats but has not renewed its lease row for this long is challenged:
+  /// it may be the only node that cannot reach the store.
   Duration unrenewed_timeout = absl::Milliseconds(2500);
-  /// How long one grant lets a back end hold keys; at most the platform's bound.
+  /// How long one grant lets a back end hold keys; at most the platform's maximum hold.
   Duration hold = absl::Milliseconds(4500);
   Duration hold_renewal = absl::Milliseconds(1000);
-  /// Renewals of all ranges together; with more ranges each is renewed more rarely, within its
-  /// hold.
+  /// Limit of the renewal rate over all ranges. With more ranges each one is renewed less often,
+  /// but always within its hold.
   double renewals_per_second = 500;
-  /// The clock of a back end may run this much slow.
+  /// Largest relative error by which the clock of a back end may run slow.
   double clock_drift = 0.02;
-  /// Added to every wait for another's hold to end.
+  /// Added to every wait for the end of another node's or back end's hold.
   Duration slack = absl::Milliseconds(300);
-  /// A peer's heartbeat older than this makes a node challenge the lease.
+  /// A node challenges the lease when the holder's last heartbeat is older than this.
   Duration heartbeat_timeout = absl::Milliseconds(1000);
-  /// How much longer than others this node waits before it challenges a missing holder: weak
-  /// machines leave the lease to strong ones.
+  /// Extra time that this node waits before it challenges a missing holder, so that slow machines
+  /// leave the lease to fast ones.
   Duration challenge_delay = absl::ZeroDuration();
-  /// For this long a node may go on using a map after its last confirmation. Keys of an owner that
-  /// did not answer its release move no sooner than this after they were published as moving. So
-  /// far below the hold that waiting for it does not lengthen the wait for a silent owner.
+  /// How long a node may use a map after its last confirmation. Keys of an owner that did not
+  /// answer its release move no sooner than this after they were published as moving. It is far
+  /// enough below the hold that it does not lengthen the wait for an unresponsive owner.
   Duration map_confirmation = absl::Milliseconds(3200);
-  /// A back end that confirmed no grant for this long is silent: it loses its keys.
+  /// A back end that has confirmed no grant for this long is unresponsive and loses its keys.
   Duration unresponsive_timeout = absl::Milliseconds(1200);
-  /// The same when it was because nothing listened at its address.
+  /// The same limit for a back end whose address refuses connections.
   Duration connection_refused_timeout = absl::Milliseconds(600);
-  /// A service gets its first partition when its back ends have not changed for this long.
+  /// A service is partitioned for the first time when its back ends have not changed for this long.
   Duration registration_settle = absl::Milliseconds(500);
-  /// How many orders one back end is sent at once.
+  /// Largest number of orders in flight to one back end.
   uint32_t max_orders_per_backend = 2;
-  /// An order to a back end or a store write without an answer is given up after this.
+  /// Time-outs of an order to a back end and of a store call.
   Duration order_timeout = absl::Milliseconds(400);
   Duration store_timeout = absl::Milliseconds(600);
-  /// What one write of the holder may carry.
+  /// Limits of one transaction of the holder.
   CommitLimits commit_limits;
-  /// When a coordinator has drawn this many fences of its epoch it begins another.
+  /// A coordinator begins a new epoch when it has used this many fences of the current one.
   uint64_t fences_before_new_epoch = kFencesPerEpoch / 10 * 9;
-  /// How often the partitioner is asked.
+  /// Interval between calls of the partitioner.
   Duration partition_interval = absl::Milliseconds(400);
   partition::PartitionWeights partition_weights;
 };
 
-/// Who this node is to others; written into the lease.
+/// Identity of this node, written into the lease row.
 struct NodeIdentity {
-  /// Drawn at random at each start.
+  /// Chosen at random at each start.
   uint64_t incarnation = 0;
   std::string name;
-  /// Where other nodes reach it.
+  /// Address at which other nodes reach it.
   Endpoint peer_address;
 };
 
-/// What the holder of the lease tells all nodes, and what the lease row says.
+/// State of the lease as its holder sends it to all nodes in heartbeats, or as the lease row has
+/// it.
 struct LeaseView {
   uint64_t epoch = 0;
   uint64_t incarnation = 0;
   Endpoint peer_address;
-  /// The version of the lease row that the sender last confirmed; 0 when unknown.
+  /// Version of the lease row in the sender's last confirmed write; 0 when unknown.
   store::RowVersion row_version = 0;
   MSGPACK_DEFINE_ARRAY(epoch, incarnation, peer_address, row_version);
 };
 
-/// Numbers the calls of one coordinator, so that a reply finds its call.
+/// Identifies a call of one coordinator, to match replies with calls.
 using CallId = uint64_t;
 
 struct CommitAction {
@@ -113,9 +116,9 @@
   KeyRange range;
   Fence fence = 0;
   Duration hold;
-  /// Empty when the last holder gave none.
+  /// Handover data of the previous owner; empty when it returned none.
   std::string handover;
-  /// It must not leave later: then it is no longer known that this node holds the lease.
+  /// The grant must not be sent later: after this time this node may no longer hold the lease.
   Time send_by = absl::InfiniteFuture();
 };
 struct ReleaseAction {
@@ -125,11 +128,11 @@
   KeyRange range;
   Fence fence = 0;
 };
-/// The map changed: publish it to all nodes (also to this one).
+/// Requests that the changed map be published to all nodes, including this one.
 struct PublishAction {
   OwnershipMap map;
 };
-/// A belief changed; for the log. `event` is one of those in belief_events.h.
+/// Reports a state change for the log. `event` is one of the names in belief_events.h.
 struct StateChangeAction {
   std::string event;
   std::string detail;
@@ -141,18 +144,18 @@
   kDone,
   /// The back end has seen a higher fence on some of these keys.
   kFenced,
-  /// It answered, and did not do it.
+  /// The back end answered but did not execute the order.
   kRefused,
-  /// Another incarnation, or a back end of another service, answers at its address.
+  /// Another incarnation, or a back end of another service, answered at its address.
   kOtherInstance,
-  /// The connection was refused. The back end may have ended, or be cut off.
+  /// The connection was refused: the back end has ended or cannot be reached.
   kUnreachable,
-  /// No answer: it may be done, or may be done seconds later.
+  /// No answer: the order may have been executed, or may still be executed seconds later.
   kNoAnswer,
 };
 struct OrderReply {
   OrderStatus status = OrderStatus::kNoAnswer;
-  /// Of a release.
+  /// Handover data that a release returned.
   std::string handover;
 };
 
@@ -161,49 +164,51 @@
   Coordinator(const CoordinatorSettings& settings, const NodeIdentity& self);
   ~Coordinator();
 
-  /// The sharded services, and what changed in the registered back ends. One of any service at the
-  /// address of an earlier one proves that this has ended.
+  /// Sets the sharded services and applies the changes of the registered back ends. A back end of
+  /// any service at the address of an earlier one proves that the earlier one has ended.
   void OnCatalog(const std::vector<catalog::Service>& sharded_services,
                  const catalog::BackendChanges& changes, Time now);
-  /// Another node's heartbeat as holder of the lease arrived.
+  /// Handles a heartbeat of another node that holds the lease.
   void OnHeartbeat(const LeaseView& view, Time now);
-  /// The holder said that it gives the lease up, or its process surely ended.
+  /// Handles the end of a holder that announced giving up the lease or whose process has ended.
   void OnCoordinatorEnded(uint64_t incarnation, Time now);
-  /// What all nodes counted for one service.
+  /// Adds the request counts and service times that all nodes measured for one service.
   void OnLoad(const std::string& service, const std::vector<partition::KeyCount>& counts,
               const std::vector<partition::ServiceTimeSample>& samples, Time now);
-  /// A back end turned a node's request away though it had free slots, and is left alone by that
-  /// node for `rest`.
+  /// Records that a back end with free slots declined a request of a node, which sends it nothing
+  /// for `backoff`.
   void OnOwnerDeclined(const std::string& service, const std::string& backend, Duration backoff,
                        Time now);
-  /// All limits in force that back ends have named, in requests a second from all nodes together.
+  /// Sets all rate limits in force that back ends have reported, in requests per second summed over
+  /// all nodes.
   void SetRateLimits(const std::map<std::string, double>& limits, Time now);
-  /// A node got "does not own the key" from an owner of the map in force: check its grant.
+  /// Renews the grant of `key` after its owner according to the map in force rejected a request as
+  /// not the owner.
   void OnNotOwner(const std::string& service, Key key, Time now);
-  /// It is proven that this incarnation of a back end has ended, and so holds nothing.
+  /// Records proof that this incarnation of a back end has ended and so holds no keys.
   void OnBackendEnded(const std::string& backend, Time now);
   void OnStoreReply(CallId call, const store::StoreReply& reply, Time now);
   void OnOrderReply(CallId call, const OrderReply& reply, Time now);
-  /// To be called at or soon after NextWake().
+  /// Performs all due work. Call it at or soon after NextWake().
   void OnTick(Time now);
-  /// A planned stop of this node: gives the lease up as soon as nothing is half done, and never
-  /// takes it again.
+  /// Prepares a planned stop of this node: gives up the lease as soon as no write or move is
+  /// unfinished, and never acquires it again.
   void Resign(Time now);
 
-  /// Actions since the last call, in order.
+  /// Returns the actions since the last call, in order.
   std::vector<Action> TakeActions();
-  /// When OnTick is due next.
+  /// Returns the time at which OnTick is due next.
   Time NextWake() const;
 
-  /// Whether this node holds a valid lease now.
+  /// Returns whether this node holds a valid lease at `now`.
   bool Holds(Time now) const;
-  /// Until when the lease is valid; in the infinite past while this node is not its holder.
+  /// Returns the lease expiry; InfinitePast when this node is not the holder.
   Time LeaseUntil() const;
-  /// For heartbeats; only meaningful while Holds().
+  /// Returns the lease state to send in heartbeats; only meaningful while Holds().
   LeaseView View() const;
-  /// The holder as far as this node knows.
+  /// Returns the holder known to this node.
   const std::optional<LeaseView>& KnownHolder() const;
-  /// The map last committed or read by this node.
+  /// Returns the map last committed or read by this node.
   const OwnershipMap& Map() const;
 
  private:
--- a/src/core/ownership/coordinator_commits.cc
+++ b/src/core/ownership/coordinator_commits.cc
@@ -10,10 +10,10 @@
 namespace ladderstream::ownership {
 namespace {
 
-/// The least time between two rounds of merging a service's ranges.
+/// Minimum time between two rounds of merging a service's ranges.
 constexpr Duration kMergeInterval = absl::Seconds(2);
 
-/// A change that the store refuses by itself, whatever else it is sent with, waits this long.
+/// Delay of a change that the store rejects even when it is sent alone.
 constexpr Duration kRejectedChangeDelay = absl::Seconds(30);
 
 }  // namespace
@@ -110,7 +110,7 @@
       state_change::kCommitRejected,
       absl::StrCat("code ", static_cast<uint32_t>(ResultCode::kStoreRejectedWrite), ": ",
                    attempt.changes.size(), " changes in ", attempt.rows.size(), " rows: ", detail,
-                   smaller ? ", tried again in parts" : ", set aside"));
+                   smaller ? ", retried in smaller transactions" : ", deferred"));
   if (smaller) {
     return;
   }
--- a/src/core/ownership/coordinator_impl.h
+++ b/src/core/ownership/coordinator_impl.h
@@ -1,8 +1,8 @@
-// The parts of a Coordinator and how they work together. Used only by the coordinator's own files:
-//   coordinator.cc          events in, actions out, when to wake
+// Implementation of Coordinator. Included only by the coordinator's own files:
+//   coordinator.cc          event handlers, actions, wake-up times
 //   coordinator_lease.cc    the lease: challenge, take over, renew, step down
 //   coordinator_commits.cc  changes of owners and fences, from proposal to store
-//   coordinator_moves.cc    what should move, releases, waiting silent owners out
+//   coordinator_moves.cc    choice of moves, releases, waiting out unresponsive owners
 //   coordinator_orders.cc   grants and releases, and their answers
 #pragma once
 
@@ -62,14 +62,14 @@
  private:
   enum class Role {
     kStandby,
-    /// The newest confirmed write of the lease row is this node's. The lease may have lapsed.
+    /// The newest confirmed write of the lease row is this node's. The lease may have expired.
     kHolder,
-    /// Has given the lease up, and never takes it again.
+    /// Has given up the lease and never acquires it again.
     kResigned,
   };
 
-  /// An earlier owner whose hold was waited out. A grant that it never answered may still reach it;
-  /// the release is repeated so that it refuses one.
+  /// Release of an earlier owner whose hold was waited out. An unanswered grant may still reach
+  /// that owner; the release is repeated so that the owner rejects such a grant.
   struct RepeatedRelease {
     std::string backend;
     KeyRange range;
@@ -81,17 +81,17 @@
   struct ServiceState {
     std::string name;
     RangeTable table;
-    /// As in the store, and which rows hold it.
+    /// Assignments in the store, and the rows that hold them.
     AssignmentTable committed;
     ServiceRows rows{""};
-    /// No row and no proposal yet.
+    /// The service has neither a stored row nor a proposal yet.
     bool unpartitioned = false;
     Time unpartitioned_since = absl::InfinitePast();
-    /// A node was asked for its keys.
+    /// A node has received requests for keys of this service.
     bool has_requests = false;
     std::unique_ptr<partition::Partitioner> partitioner;
     Time partition_due = absl::InfinitePast();
-    /// Not asked sooner than this, also when something is urgent.
+    /// The partitioner does not run sooner than this, even for an urgent change.
     Time partition_not_before = absl::InfinitePast();
     Time merge_due = absl::InfinitePast();
     std::vector<RepeatedRelease> repeated_releases;
@@ -101,17 +101,17 @@
     int urgency = 0;
     Time due;
     ServiceState* service = nullptr;
-    /// Null for a lingering release, which then is `lingering`.
+    /// Null for a repeated release, which `repeated_release` then points to.
     const RangeState* state = nullptr;
     RepeatedRelease* repeated_release = nullptr;
   };
 
   // coordinator.cc
 
-  /// Does everything that is due.
+  /// Performs all due work.
   void Advance(Time now);
-  /// Advances before actions are taken next. Many answers come in one turn of the event loop, and a
-  /// look at all ranges for each would cost more than the machine has.
+  /// Schedules Advance for the next TakeActions. One turn of the event loop delivers many answers;
+  /// scanning all ranges for each of them would take too much processor time.
   void AdvanceSoon(Time now) { advance_due_ = now; }
   void ForgetUnneededBackends();
   void HolderStep(Time now);
@@ -131,7 +131,8 @@
   void OnRead(const store::StoreReply& reply, Time now);
   void OnRowsRead(Time now);
   void ReadFailed(Time now);
-  /// Reads the lease row among the rows read; empty when there is none. False: unreadable.
+  /// Decodes the lease row among the rows read; `lease` stays empty when there is none. Returns
+  /// false if the row is unreadable.
   bool FindLeaseRow(std::optional<LeaseRow>* lease, store::RowVersion* version);
   void UpdateMapFromRows(const std::optional<LeaseRow>& lease);
   void Challenge(const std::optional<LeaseRow>& lease, store::RowVersion version, Time now);
@@ -140,7 +141,7 @@
   void TakeOver(const LeaseAttempt& attempt, Time now);
   ServiceState& AddService(const std::string& name);
   void AdoptService(const std::string& name, const StoredService& stored, Time now);
-  /// Nobody knows who owns these keys: only waiting helps.
+  /// Waits for the end of every hold in `range`, whose owner is unknown as its row is unreadable.
   void WaitOutUnreadable(ServiceState& service, const KeyRange& range, Time now);
   void StepDown(std::string_view event, std::string detail, Time now);
   /// Sends the next write of the chain if one is due and none is in flight.
@@ -148,24 +149,25 @@
   bool WriteDue(Time now) const;
   void ReportLeaseValidity(Time now);
   void RenewIfStoreDegraded(Time now);
-  /// Gives whether the lease was given up.
+  /// Returns whether the lease was given up.
   bool ResignIfDone(Time now);
   Time StandbyWake() const;
 
   // coordinator_commits.cc
 
   Fence NextFence();
-  /// Changes that are ready, as many as one transaction takes; `rows` gets what they write.
+  /// Returns the ready changes that fit into one transaction, and sets `rows` to the rows they
+  /// write.
   std::vector<OwnershipChange> CollectChanges(Time now, std::map<std::string, std::string>* rows);
   void CollectChanges(ServiceState& service, Time now, std::vector<OwnershipChange>* changes);
-  /// The rows that `changes`, which are in order of services, write.
+  /// Returns the rows that `changes`, sorted by service, write.
   std::map<std::string, std::string> EncodeRows(const std::vector<OwnershipChange>& changes) const;
   bool HasReadyChanges(Time now) const;
   bool IsReady(const ServiceState& service, const RangeState& state, Time now) const;
   void ApplyCommitted(const LeaseAttempt& attempt, Time now);
-  /// The store refused a transaction for what it holds: it is never sent again as it is.
+  /// Handles a transaction that the store rejected for its content; it is never resent unchanged.
   void OnCommitRejected(const LeaseAttempt& attempt, const std::string& detail, Time now);
-  /// Leaves a change that no transaction can hold alone for a while.
+  /// Delays a change that the store rejects even when it is sent alone.
   void DeferChange(const OwnershipChange& change, Time now);
   void ApplyChange(ServiceState& service, const OwnershipChange& change, Time now);
   void MergeFencesIfSettled(ServiceState& service, Time now);
@@ -179,24 +181,24 @@
   void MarkBackendEnded(const std::string& backend, Time now);
   void FinishReleases(ServiceState& service, Time now);
   Time WaitOutEnd(const RangeState& state) const;
-  /// No back end holds the range any more.
+  /// Advances the move of a range that no back end holds any more.
   void OnReleased(ServiceState& service, RangeState& state, Time now);
   void RunPartitioner(ServiceState& service, Time now);
-  /// `under_way` counts the planned moves.
+  /// `under_way` is the number of planned moves and is updated.
   void ApplyProposal(ServiceState& service, const partition::ProposedMove& move, Time now,
                      size_t* under_way);
   void StartMove(ServiceState& service, RangeState& state, const std::string& to, Time now);
   void MarkMoving(RangeState& state, Time now);
   bool IsBusy(const RangeState& state) const;
-  /// Whether a commit begun now may stay unanswered for long. Keys that were released for it would
-  /// be without an owner until then, so moves that are not needed wait.
+  /// Returns whether a commit begun now may stay unanswered for long. Keys released for it would
+  /// have no owner until it is answered, so optional moves are deferred.
   bool CommitsInDoubt(Time now) const;
-  /// Tells so once, until a write is confirmed.
+  /// Reports deferred moves, at most once until a write is confirmed.
   void ReportMovesDeferred(Time now);
   size_t CountMoves(const ServiceState& service) const;
-  /// Moves whose owner might as well keep its keys. Keys of owners that are lost wait for seconds
-  /// without an order or a commit; counted among the moves under way, those of 16 lost owners would
-  /// stop all balancing until their holds end, when the others need it most.
+  /// Returns the number of moves whose current owner could keep its keys. Keys of lost owners wait
+  /// for seconds without an order or a commit. If they counted, 16 lost owners would stop all
+  /// balancing until their holds end, when the remaining owners need it most.
   size_t CountPlannedMoves(const ServiceState& service) const;
   void ListMoves(const ServiceState& service, Assignments* view, std::vector<KeyRange>* busy) const;
   std::set<std::string> OwnersOf(const ServiceState& service) const;
@@ -208,20 +210,21 @@
   void SendOrders(Time now);
   void CollectOrders(ServiceState& service, Time now, std::vector<OrderCandidate>* candidates);
   bool MayGrant(const RangeState& state) const;
-  /// Gives whether an order was sent.
+  /// Returns whether an order was sent.
   bool SendOrder(const OrderCandidate& candidate, Time now);
   void SendGrant(ServiceState& service, RangeState& state, const Endpoint& address, Time now);
   void SendRelease(ServiceState& service, const std::string& backend, const Endpoint& address,
                    const KeyRange& range, Fence fence, Time now);
   Duration RenewalInterval(Time now) const;
-  /// For how long a grant sent now may hold.
+  /// Returns the hold of a grant sent now.
   Duration HoldOf(Time now) const;
-  /// The longest that a grant sent at the very end of a lease may hold.
+  /// Returns the longest hold of a grant sent at the very end of a lease.
   Duration LastHold() const;
-  /// Holds are cut short by the end of the lease.
+  /// Returns whether holds granted now are shortened by the end of the lease.
   bool LeaseEnds(Time now) const;
   size_t CountRanges() const;
-  /// A successor's owners have not all been asked yet to go on.
+  /// Returns whether this node acquired the lease recently and some owners have not yet answered
+  /// its first grants.
   bool AwaitsFirstRenewals(const ServiceState& service, Time now) const;
   bool StoreDegraded(Time now) const;
   void GiveUpOrders(Time now);
@@ -242,13 +245,13 @@
   Time next_wake_ = absl::InfiniteFuture();
   std::optional<Time> advance_due_;
 
-  // What is known from others.
+  // Input from the catalog, and the current map.
   bool has_catalog_ = false;
   std::set<std::string> listed_;
   BackendDirectory directory_;
   Time backends_changed_at_ = absl::InfinitePast();
   OwnershipMap map_;
-  /// What was published last is not what holds now.
+  /// The current state differs from the map last published.
   bool map_changed_ = false;
 
   // The lease.
@@ -258,35 +261,35 @@
   std::optional<CallId> read_call_;
   Time read_sent_;
   std::vector<store::Row> read_rows_;
-  /// This node challenges, and its write is not settled.
+  /// This node has challenged the lease, and the outcome of its write is unknown.
   bool challenging_ = false;
   uint64_t challenge_epoch_ = 0;
-  /// Since when this node has known the version of the lease row that it challenges; InfinitePast
-  /// when nobody ever held the lease, so that there is no predecessor to wait for.
+  /// Time at which this node first saw the version of the lease row that it challenges;
+  /// InfinitePast when the lease was never held, so that there is no predecessor to wait for.
   Time challenged_known_since_ = absl::InfinitePast();
-  /// After a failure the next write waits until then.
+  /// Earliest time of the next write after a failure.
   Time write_not_before_ = absl::InfinitePast();
   Duration write_backoff_ = absl::ZeroDuration();
   bool lapse_reported_ = false;
   bool renewed_for_degraded_store_ = false;
   bool moves_deferred_reported_ = false;
   bool write_failure_reported_ = false;
-  /// Smaller after the store refused a transaction for what it held.
+  /// Reduced after the store rejected a transaction for its content.
   CommitLimits commit_limits_;
   std::optional<Time> resign_by_;
 
   // While holding.
   uint64_t epoch_ = 0;
   Time took_over_at_ = absl::InfinitePast();
-  /// The predecessor may go on granting and confirming its map while its own lease runs.
+  /// Latest expiry of the predecessor's lease; until then it may grant keys and confirm its map.
   Time predecessor_until_ = absl::InfinitePast();
   uint64_t fences_drawn_ = 0;
   uint64_t sequence_ = 0;
   std::map<std::string, ServiceState> services_;
   OrderBook orders_;
-  /// Orders that were due in the last step, and were left for the next one.
+  /// The last step left due orders for the next one.
   bool orders_deferred_ = false;
-  /// Back ends with orders that wait for an answer to an earlier one.
+  /// Back ends whose due orders wait for the answer to an earlier one.
   std::set<std::string, std::less<>> blocked_;
 };
 
--- a/src/core/ownership/coordinator_lease.cc
+++ b/src/core/ownership/coordinator_lease.cc
@@ -11,8 +11,8 @@
 namespace ladderstream::ownership {
 namespace {
 
-/// Waits between writes that fail; doubled from the first to the last. The holder alone finds out
-/// so soon that the store is back: some 30 writes in 8 s of refusals.
+/// Delays between failing writes, doubled from the minimum to the maximum. Only the holder retries
+/// so often, to detect the end of a store outage soon: some 30 writes in 8 s of refusals.
 constexpr Duration kMinBackoff = absl::Milliseconds(50);
 constexpr Duration kMaxHolderBackoff = absl::Milliseconds(300);
 constexpr Duration kMaxChallengeBackoff = absl::Milliseconds(1600);
@@ -87,7 +87,7 @@
   std::optional<LeaseRow> lease;
   store::RowVersion version = 0;
   if (!FindLeaseRow(&lease, &version)) {
-    // Without the epoch no fence is known to be high enough.
+    // Without the epoch of the last holder no fence is certain to be high enough.
     watch_.OnFailure(now);
     return;
   }
@@ -135,7 +135,7 @@
   ReportStateChange(
       state_change::kLeaseChallenged,
       lease ? absl::StrCat("epoch ", lease->epoch, " of ", FormatEndpoint(lease->peer_address))
-            : "there is none");
+            : "no lease row in the store");
   WriteStep(now);
 }
 
@@ -149,7 +149,9 @@
 
 void Coordinator::Impl::WriteStep(Time now) {
   if (chain_.GiveUp(now) > 0) {
-    OnWriteFailed("no answer in time", now);
+    OnWriteFailed(absl::StrCat("no answer from the store within ",
+                               absl::FormatDuration(settings_.store_timeout)),
+                  now);
   }
   if (!WriteDue(now)) {
     return;
@@ -182,15 +184,15 @@
   switch (outcome.kind) {
     case ChainOutcome::Kind::kOpen:
       if (reply.status == store::StoreStatus::kUnknown && !chain_.attempts().empty()) {
-        OnWriteFailed(absl::StrCat("no answer: ", reply.detail), now);
+        OnWriteFailed(absl::StrCat("no answer from the store: ", reply.detail), now);
       }
       return;
     case ChainOutcome::Kind::kNotApplied:
-      OnWriteFailed(absl::StrCat("refused: ", reply.detail), now);
+      OnWriteFailed(absl::StrCat("refused by the store: ", reply.detail), now);
       return;
     case ChainOutcome::Kind::kRejected:
       OnCommitRejected(outcome.attempt, reply.detail, now);
-      OnWriteFailed(absl::StrCat("rejected: ", reply.detail), now);
+      OnWriteFailed(absl::StrCat("rejected by the store: ", reply.detail), now);
       return;
     case ChainOutcome::Kind::kCorrected:
       return;
@@ -199,7 +201,8 @@
         return;
       }
       if (role_ == Role::kHolder) {
-        StepDown(state_change::kLeaseLost, "the row was written by another", now);
+        StepDown(state_change::kLeaseLost, "another node wrote the lease row or a service row",
+                 now);
       }
       challenging_ = false;
       watch_.OnSuperseded(outcome.other, outcome.other_version, now);
@@ -222,7 +225,7 @@
   } else if (challenging_) {
     TakeOver(outcome.attempt, now);
   } else {
-    // Applied after this node had let its challenge go: the rows read with it are not at hand.
+    // Applied after this node had abandoned its challenge; the rows read for it are gone.
     chain_.Forfeit();
     watch_.Begin(now);
   }
@@ -239,8 +242,8 @@
   sequence_ = 0;
   lapse_reported_ = false;
   took_over_at_ = now;
-  // The challenge succeeded at the version that was known then: whatever confirmed a predecessor's
-  // lease last was sent before.
+  // The challenge succeeded on the version known at that time, so the write that last confirmed a
+  // predecessor's lease was sent earlier.
   predecessor_until_ = challenged_known_since_ + settings_.lease * (1 + settings_.clock_drift);
   services_.clear();
   orders_.Clear();
@@ -269,7 +272,7 @@
   }
   service.rows.Adopt(stored);
   service.committed = AssignmentTable(stored.row.assignments);
-  // The predecessor's last grants were cut short, and end no later than a whole one of then.
+  // The predecessor's last grants were shortened, and end no later than a full one of that time.
   const Time last_full_grant = predecessor_until_ - (settings_.hold - LastHold());
   service.table = RangeTable(stored.row.assignments, last_full_grant);
   for (const std::string& fault : stored.faults) {
--- a/src/core/ownership/coordinator_moves.cc
+++ b/src/core/ownership/coordinator_moves.cc
@@ -1,4 +1,4 @@
-// What should move, releases, and waiting silent owners out.
+// Choice of moves, releases, and waiting out unresponsive owners.
 #include <absl/strings/str_cat.h>
 
 #include <algorithm>
@@ -11,23 +11,23 @@
 namespace ladderstream::ownership {
 namespace {
 
-/// The least time between two questions to a partitioner, however urgent.
+/// Minimum time between two runs of a partitioner, however urgent.
 constexpr Duration kPartitionGap = absl::Milliseconds(50);
 
-/// How soon a successor that renews first looks again whether all owners have answered.
+/// Interval at which a successor checks whether all owners have answered its first grants.
 constexpr Duration kFirstRenewalsRecheck = absl::Milliseconds(20);
 
-/// A service gets its first partition after this many settling times, even if its back ends still
-/// change; later as long as nobody asks for its keys, since a back end that comes after it is given
-/// keys only as load shows the need.
+/// A service is partitioned for the first time after this many settling times even if its back ends
+/// still change. Without requests for its keys the limit is higher, since a back end that registers
+/// after the first partition gets keys only when the load requires it.
 constexpr int kMaxSettlingTimes = 4;
 constexpr int kMaxSettlingTimesWithoutRequests = 16;
 
-/// A store write that has gone unanswered for this share of its time-out puts the next ones in
-/// doubt. A sound store answers within a few hundredths of it.
+/// Optional moves are deferred while a store write has been unanswered for this share of its
+/// time-out. A healthy store answers within a few hundredths of it.
 constexpr double kDoubtfulShare = 0.25;
 
-/// For this long after an owner was waited out, it may still take a grant that was sent to it.
+/// How long after an owner was waited out a grant sent to it may still arrive.
 constexpr Duration kRepeatReleaseFor = absl::Seconds(15);
 
 std::string Describe(const RangeState& state) {
@@ -136,7 +136,7 @@
   state.fenced = false;
   const bool never_granted = WaitOutEnd(state) == absl::InfinitePast();
   if (!never_granted) {
-    // What the owner before this one handed over is outdated.
+    // The handover data of the owner before this one is outdated.
     state.handover.clear();
   }
   if (never_granted || directory_.HasEnded(state.owner)) {
@@ -250,7 +250,7 @@
     }
     if (state->phase == RangePhase::kReleased) {
       state->next_owner = move.to;
-      // To its old owner, repeated releases under next_fence may still be on their way.
+      // Repeated releases under next_fence may still be on their way to the old owner.
       if (state->next_fence == 0 || move.to == state->owner) {
         state->next_fence = NextFence();
       }
--- a/src/core/ownership/coordinator_orders.cc
+++ b/src/core/ownership/coordinator_orders.cc
@@ -10,34 +10,34 @@
 namespace ladderstream::ownership {
 namespace {
 
-/// How often the release of an owner that was waited out is repeated.
+/// Interval at which the release of an owner that was waited out is repeated.
 constexpr Duration kReleaseRepeatInterval = absl::Seconds(2);
 
-/// Near the end of a lease that is not renewed, holds are renewed this many times as often.
+/// Factor by which holds are renewed more often near the end of a lease that is not renewed.
 constexpr int kFinalRenewalFactor = 4;
 
-/// However many ranges there are, each is renewed within this share of its hold: with the defaults
-/// 1.35 s of 4.5 s, so that a successor still renews every owner in time (docs/DEPLOYING.md has the
-/// inequality).
+/// Each range is renewed within this share of its hold, however many ranges there are: 1.35 s of
+/// 4.5 s with the default settings. This lets a successor renew every owner in time
+/// (docs/DEPLOYING.md has the inequality).
 constexpr double kMaxRenewalShare = 0.3;
 
-/// Renewals come up to this share of their interval sooner, so that those sent together once do not
-/// come due together for ever.
+/// Renewals are sent early by up to this share of their interval, so that renewals sent together
+/// once do not stay synchronized.
 constexpr double kRenewalSpread = 0.2;
 constexpr uint64_t kSpreadSteps = 64;
 
-/// Orders that one step sends at most; then the event loop reads answers, the lease's among them.
-/// At some 80 us of processor time an order, 32 take 5 ms of half a core.
+/// Maximum number of orders per step; between steps the event loop reads answers, including those
+/// to lease writes. At some 80 us of processor time per order, 32 orders take 5 ms on half a core.
 constexpr size_t kOrdersPerStep = 32;
 
-/// For so long a successor leaves balancing alone while owners have not answered its first grants.
+/// How long a successor delays balancing while owners have not answered its first grants.
 constexpr Duration kFirstRenewalsTimeout = absl::Milliseconds(500);
 
-// Which orders a back end gets first.
+// Order in which a back end's orders are sent.
 enum Urgency : int {
-  /// The hold may be near its end.
+  /// The hold may expire soon.
   kRenewLate = 0,
-  /// Callers wait for these keys.
+  /// Requests wait for these keys.
   kMove = 1,
   kRenew = 2,
   kRepeatedRelease = 3,
@@ -70,8 +70,8 @@
 }
 
 Duration Coordinator::Impl::HoldOf(Time now) const {
-  // No hold outlives the lease by more than the maps do that were confirmed at its end: a
-  // successor, which waits for those, need not wait longer for an owner that does not answer.
+  // No hold outlives the lease by more than a map confirmed at its end does. A successor waits for
+  // such maps anyway, so it need not wait longer for an unresponsive owner.
   return std::min(settings_.hold, LeaseUntil() + LastHold() - now);
 }
 
@@ -111,8 +111,8 @@
   if (state.fenced || owner == nullptr || owner->ended) {
     return false;
   }
-  // One that is no longer registered may live and serve: it keeps its keys while nobody else can
-  // take them.
+  // An owner that is no longer registered may still run and serve: it keeps its keys while no other
+  // back end can take them.
   const bool was_granted = state.last_grant != absl::InfinitePast();
   return owner->registered || (was_granted && !directory_.AnyAccepts(owner->service));
 }
@@ -255,7 +255,7 @@
     if (state.owner != order.backend) {
       continue;
     }
-    // Taken at some time between its send and now.
+    // The back end accepted the grant at some time between its send and now.
     state.last_grant = std::max(state.last_grant, now);
     if (state.phase != RangePhase::kOwned || state.fence != order.fence || state.fenced ||
         !Covers(order.range, state.range)) {
@@ -292,7 +292,7 @@
       continue;
     }
     if (Covers(order.range, state.range) && state.range != order.range) {
-      // The higher fence may be that of another part.
+      // The higher fence may belong to another part of the range.
       state.order_due = now;
       continue;
     }
--- a/src/core/ownership/holder_watch.cc
+++ b/src/core/ownership/holder_watch.cc
@@ -6,33 +6,30 @@
 namespace ladderstream::ownership {
 namespace {
 
-/// How many ended incarnations are remembered.
 constexpr size_t kMaxEndedIncarnations = 32;
 
-/// A holder that renews its lease but is not heard of here is challenged after this many heartbeat
-/// timeouts: it may be heard by nobody.
+/// A holder that renews its lease but whose heartbeats do not arrive here is challenged after this
+/// many heartbeat time-outs: its heartbeats may reach no node.
 constexpr int kMaxMissedTimeouts = 5;
 
-/// Parts of the heartbeat timeout over which challengers are spread.
+/// Fractions of the heartbeat time-out over which challenges of different nodes are spread.
 constexpr double kMissingSpread = 0.25;
 constexpr double kEndedSpread = 0.1;
 
-/// Part of its patience with an unrenewed holder over which a node's reads are spread. When the
-/// store is away for all, each of many nodes reads in vain, and the first one that does not is
-/// enough.
+/// Fraction of the unrenewed time-out over which the reads of different nodes are spread. During a
+/// store outage the reads of all nodes fail; after it, one successful read is enough.
 constexpr double kUnrenewedSpread = 1;
 
 constexpr Duration kMinRetryDelay = absl::Milliseconds(100);
 constexpr Duration kMaxRetryDelay = absl::Milliseconds(1600);
 
-/// A holder that could not renew, as nobody could, is left so long to do it when the store is back:
-/// it writes within 0.3 s, and knows how long each silent owner may hold, which a successor does
-/// not.
+/// Time for the holder to renew after a store outage that affected all nodes. It writes within 0.3
+/// s and, unlike a successor, knows how long each unresponsive owner may hold its keys.
 constexpr Duration kStoreRecoveryGrace = absl::Milliseconds(400);
 
 constexpr uint64_t kJitterSteps = 1024;
 
-/// Spreads nearby numbers (the finalizer of splitmix64).
+/// Hashes nearby numbers to distant ones (the finalizer of splitmix64).
 uint64_t Mix(uint64_t value) {
   value = (value ^ (value >> 30U)) * 0xbf58476d1ce4e5b9U;
   value = (value ^ (value >> 27U)) * 0x94d049bb133111ebU;
@@ -75,8 +72,9 @@
     observed_version_ = version;
     observed_at_ = now;
     const Duration timeout = settings_.unrenewed_timeout;
-    // Not sooner than one that falls silent then: where the store loses answers, holders that were
-    // replaced early followed each other, and each waited anew for silent owners.
+    // Not sooner than the challenge of a holder that becomes unresponsive at that time. When the
+    // store loses answers, earlier challenges replaced one holder after another, and each successor
+    // waited anew for unresponsive owners.
     unrenewed_due_ =
         now + timeout + settings_.heartbeat_timeout + ChallengeDelay(timeout * kUnrenewedSpread);
   }
--- a/src/core/ownership/holder_watch.h
+++ b/src/core/ownership/holder_watch.h
@@ -1,7 +1,7 @@
-// A standby's view of the lease's holder, and when it seems to be missing.
+// Tracks the lease holder on a standby, and decides when to challenge it.
 //
-// Whether a challenge is right never matters for safety; here it is only weighed how soon a missing
-// holder is replaced, against deposing one that is well.
+// A wrong challenge never affects safety. The timing is a trade-off between replacing a missing
+// holder soon and not deposing a healthy one.
 #pragma once
 
 #include <cstdint>
@@ -18,7 +18,7 @@
 class HolderWatch {
  public:
   enum class Heartbeat {
-    /// It is this node's own, or that of a holder that was replaced or has ended.
+    /// The sender is this node, or a holder that was replaced or has ended.
     kIgnored,
     kOfKnownHolder,
     kOfNewHolder,
@@ -27,59 +27,60 @@
   HolderWatch(const CoordinatorSettings& settings, const NodeIdentity& self);
 
   Heartbeat OnHeartbeat(const LeaseView& view, Time now);
-  /// This incarnation does not hold the lease any more: it said so, or its process has ended.
+  /// Records that this incarnation no longer holds the lease: it resigned or its process has ended.
   void OnEnded(uint64_t incarnation, Time now);
-  /// The lease row as read; `row` is empty when there is none. Gives whether to challenge now; if
-  /// not, ReadDue() says when to look again.
+  /// Handles the lease row as read; `row` is empty when there is none. Returns whether to challenge
+  /// now; if not, ReadDue() returns the time of the next read.
   bool OnRow(const std::optional<LeaseRow>& row, store::RowVersion version, Time now);
-  /// Another node won: waits for its heartbeats.
+  /// Records that another node acquired the lease, and waits for its heartbeats.
   void OnSuperseded(const std::optional<LeaseRow>& row, store::RowVersion version, Time now);
-  /// The first look is due now.
+  /// Schedules the first read of the rows.
   void Begin(Time now);
-  /// The rows could not be read, or a challenge was refused: tries again later, ever more rarely.
+  /// Schedules a retry with exponential backoff after the rows could not be read or a challenge was
+  /// refused.
   void OnFailure(Time now);
 
-  /// Since when this node has known that the lease row had this version; `now` if it just learned
-  /// so.
+  /// Returns the time at which this node first saw this version of the lease row; `now` for a
+  /// version not seen before.
   Time KnownSince(store::RowVersion version, Time now) const;
-  /// Whether the holder is heard of while its lease row stands still.
+  /// Returns whether the holder sends heartbeats but has not renewed its lease row in time.
   bool HolderUnrenewed(Time now) const;
-  /// When the rows are to be read, with the aim of challenging.
+  /// Returns when to read the rows in order to challenge the holder.
   Time ReadDue() const { return read_due_; }
   const std::optional<LeaseView>& holder() const { return holder_; }
   void SetHolder(const std::optional<LeaseView>& holder) { holder_ = holder; }
 
  private:
   void Observe(store::RowVersion version, Time now);
-  /// A share of `span` that differs from node to node, and is the same at each call.
+  /// Returns a fraction of `span` that differs between nodes and is the same at each call.
   Duration Jitter(Duration span) const;
-  /// For how long this node leaves a challenge to others.
+  /// Returns how long this node leaves a challenge to other nodes.
   Duration ChallengeDelay(Duration span) const;
   bool HasEnded(uint64_t incarnation) const;
-  /// Whether a heartbeat shows that its sender has not ended, whatever was told.
+  /// Returns whether a heartbeat disproves an earlier report that its sender has ended.
   bool DisprovesEnd(const LeaseView& view, Time now) const;
 
   const CoordinatorSettings settings_;
   const NodeIdentity self_;
   std::optional<LeaseView> holder_;
-  /// An incarnation that is said to have ended.
+  /// An incarnation that was reported to have ended.
   struct Ended {
     uint64_t incarnation = 0;
-    /// The newest epoch known then.
+    /// Newest epoch known at `reported_at`.
     uint64_t epoch = 0;
     Time reported_at;
   };
-  /// The newest ones.
+  /// The most recent reports, oldest first.
   std::deque<Ended> ended_;
   store::RowVersion observed_version_ = 0;
   Time observed_at_ = absl::InfinitePast();
-  /// Since when the holder that the row names was not heard of.
+  /// Time of the last heartbeat of the holder that the row names, or of its first sighting.
   Time missing_since_ = absl::InfinitePast();
   Time read_due_ = absl::InfiniteFuture();
-  /// When the rows are to be read although the holder is heard of.
+  /// When to read the rows although heartbeats of the holder arrive.
   Time unrenewed_due_ = absl::InfiniteFuture();
   Duration retry_delay_ = absl::ZeroDuration();
-  /// The store could not be read lately, and perhaps not written by the holder either.
+  /// The last read of the store failed, so the holder may have been unable to write as well.
   bool store_was_unavailable_ = false;
 };
 
--- a/src/core/ownership/lease_chain.h
+++ b/src/core/ownership/lease_chain.h
@@ -1,9 +1,9 @@
-// The chain of conditional writes that a holder of the lease makes.
+// The chain of conditional writes by which a node holds the lease.
 //
-// Every transaction is conditioned on the version that the lease row has after the one before it,
-// and rewrites that row. So of several transactions without an answer at most one is ever applied,
-// a late one fails its condition once another was applied, and a deposed holder commits nothing.
-// Pure: knows nothing of when to write.
+// Every transaction is conditioned on the version of the lease row written by the previous one, and
+// rewrites that row. So at most one of several unanswered transactions is ever applied, a late one
+// fails its condition once another was applied, and a deposed holder commits nothing. LeaseChain
+// does no I/O and does not decide when to write.
 #pragma once
 
 #include <cstdint>
@@ -27,39 +27,39 @@
   Fence fence = 0;
 };
 
-/// A transaction that was sent and whose outcome is not known, or was just learned.
+/// A transaction that was sent and whose outcome is unknown or was just reported.
 struct LeaseAttempt {
   CallId call = 0;
   uint64_t nonce = 0;
   uint64_t epoch = 0;
   Time sent;
-  /// No answer came in time. It may still be applied.
+  /// No answer arrived before the time-out. The transaction may still be applied.
   bool given_up = false;
   std::vector<OwnershipChange> changes;
-  /// The service rows that it writes, by key.
+  /// The service rows that the transaction writes, by key.
   std::map<std::string, std::string> rows;
 };
 
 struct ChainOutcome {
   enum class Kind {
-    /// Nothing is settled: the call is unknown here, or has no answer yet.
+    /// No outcome yet: the call is unknown to this chain, or its result is still unknown.
     kOpen,
-    /// `attempt` is in the store; every other attempt will never be.
+    /// `attempt` was applied; no other attempt ever will be.
     kApplied,
-    /// This attempt was surely not applied. The chain stands where it stood.
+    /// The attempt was definitely not applied. The chain is unchanged.
     kNotApplied,
-    /// The same, and it never would be: `attempt` is malformed or too large.
+    /// The attempt was not applied and never can be: `attempt` is malformed or too large.
     kRejected,
-    /// The store holds what this chain wrote last, under other versions than assumed; they are
-    /// corrected.
+    /// The store holds this chain's last write under versions other than assumed; the chain now has
+    /// the right ones.
     kCorrected,
-    /// Somebody else wrote the lease row or a service row: the lease is lost.
+    /// Another node wrote the lease row or a service row: the lease is lost.
     kLost,
   };
   Kind kind = Kind::kOpen;
-  /// The attempt that was settled.
+  /// The attempt whose outcome is now known.
   LeaseAttempt attempt;
-  /// With kLost: the lease row as it stands, unless it is gone or cannot be read.
+  /// With kLost: the current lease row, unless it was removed or cannot be decoded.
   std::optional<LeaseRow> other;
   store::RowVersion other_version = 0;
 };
@@ -68,38 +68,39 @@
  public:
   LeaseChain(const CoordinatorSettings& settings, const NodeIdentity& self);
 
-  /// Begins anew behind rows as read: `lease_version` is 0 when there is no lease row; `rows` are
-  /// the versions of the service rows, by key. Attempts on the same version stay open.
+  /// Restarts the chain from rows as read. `lease_version` is 0 when there is no lease row; `rows`
+  /// are the versions of the service rows, by key. Attempts on the same lease version stay open.
   void Restart(store::RowVersion lease_version,
                const std::map<std::string, store::RowVersion>& rows);
 
-  /// Gives the transaction that writes `rows` (service rows, by key) and the lease row; remembers
-  /// it as an open attempt.
+  /// Returns the transaction that writes `rows` (service rows, by key) and the lease row, and
+  /// records it as an open attempt.
   store::Transaction Begin(CallId call, uint64_t epoch, std::map<std::string, std::string> rows,
                            std::vector<OwnershipChange> changes, Time now);
+  /// Handles the store's reply to an attempt and returns the outcome.
   ChainOutcome OnReply(CallId call, const store::StoreReply& reply);
-  /// Marks attempts that got no answer in time. Gives how many.
+  /// Marks the attempts that timed out and returns their number.
   size_t GiveUp(Time now);
-  /// The holder steps down: nothing more is confirmed.
+  /// Drops all attempts and the confirmed write, as the holder steps down.
   void Forfeit();
 
-  /// An attempt waits for its answer.
+  /// Returns whether an attempt waits for its answer.
   bool InFlight() const;
   const std::vector<LeaseAttempt>& attempts() const { return attempts_; }
-  /// Whether an open attempt commits this change.
+  /// Returns whether an open attempt commits this change.
   bool Commits(const std::string& service, Fence fence) const;
-  /// When the oldest attempt in flight is given up.
+  /// Returns when the oldest attempt in flight times out; InfiniteFuture without one.
   Time NextGiveUp() const;
-  /// When the newest confirmed write was sent; InfinitePast without one.
+  /// Returns the send time of the newest confirmed write; InfinitePast without one.
   Time confirmed_sent() const { return confirmed_sent_; }
-  /// Whether the lease is held at `now`.
+  /// Returns whether the lease is valid at `now`.
   bool Valid(Time now) const { return now < confirmed_sent_ + settings_.lease; }
   store::RowVersion lease_version() const { return lease_version_; }
 
  private:
   struct KnownRow {
     store::RowVersion version = 0;
-    /// As last written by this chain; empty when only read.
+    /// Value last written by this chain; empty when the row was only read.
     std::string value;
   };
 
