--- a/src/core/ownership/coordinator_impl.h
+++ b/src/core/ownership/coordinator_impl.h
@@ -270,7 +270,7 @@
   /// Earliest time of the next write after a failure.
   Time write_not_before_ = absl::InfinitePast();
   Duration write_backoff_ = absl::ZeroDuration();
-  bool lapse_reported_ = false;
+  bool expiry_reported_ = false;
   bool renewed_for_degraded_store_ = false;
   bool moves_deferred_reported_ = false;
   bool write_failure_reported_ = false;
--- a/src/core/ownership/coordinator_lease.cc
+++ b/src/core/ownership/coordinator_lease.cc
@@ -240,7 +240,7 @@
   epoch_ = attempt.epoch;
   fences_drawn_ = 0;
   sequence_ = 0;
-  lapse_reported_ = false;
+  expiry_reported_ = false;
   took_over_at_ = now;
   // The challenge succeeded on the version known at that time, so the write that last confirmed a
   // predecessor's lease was sent earlier.
@@ -310,14 +310,14 @@
 }
 
 void Coordinator::Impl::ReportLeaseValidity(Time now) {
-  const bool lapsed = !chain_.Valid(now);
-  if (lapsed == lapse_reported_) {
+  const bool expired = !chain_.Valid(now);
+  if (expired == expiry_reported_) {
     return;
   }
-  lapse_reported_ = lapsed;
-  ReportStateChange(lapsed ? state_change::kLeaseLapsed : state_change::kLeaseRegained,
+  expiry_reported_ = expired;
+  ReportStateChange(expired ? state_change::kLeaseLapsed : state_change::kLeaseRegained,
                     absl::StrCat("epoch ", epoch_));
-  if (!lapsed) {
+  if (!expired) {
     RenewAll(now);
     RunAllPartitionersSoon(now);
   }
--- a/tests/unit/ownership/balance_during_waits_test.cc
+++ b/tests/unit/ownership/balance_during_waits_test.cc
@@ -1,4 +1,4 @@
-// Balancing goes on while the keys of owners that fell silent are waited for.
+// Checks that balancing continues while the holds of unresponsive owners are waited out.
 #include <absl/strings/str_cat.h>
 
 #include <boost/test/unit_test.hpp>
@@ -9,10 +9,10 @@
 namespace {
 
 constexpr size_t kBackends = 40;
-/// More than may be moved for balance at a time, and fewer than half of all.
+/// More than the limit of concurrent balancing moves, and fewer than half of all back ends.
 constexpr size_t kUnresponsive = 18;
 
-BOOST_AUTO_TEST_CASE(KeysOfSilentOwnersDoNotKeepOthersFromMoving) {
+BOOST_AUTO_TEST_CASE(KeysOfUnresponsiveOwnersDoNotBlockOtherMoves) {
   ModelStore store;
   Harness node(&store, 1, 1, absl::UnixEpoch());
   BOOST_REQUIRE(kUnresponsive > node.settings.partition_weights.max_moves);
@@ -22,11 +22,11 @@
     ids.push_back(absl::StrCat("b", 10 + i));
   }
   node.Settle(ids);
-  // Every other one: the published map joins neighbouring ranges that move.
+  // Every second one, since the published map joins neighbouring ranges that move.
   for (size_t i = 0; i < kUnresponsive; ++i) {
     node.unresponsive.insert(ids[2 * i]);
   }
-  // Long enough to be taken as silent, and far from the end of their holds.
+  // Long enough for the owners to count as unresponsive, and well before their holds end.
   node.Run(node.settings.hold_renewal + node.settings.unresponsive_timeout +
            node.settings.partition_interval * 2);
   BOOST_REQUIRE(node.published.services.at(Harness::kService).moving.size() >=
--- a/tests/unit/ownership/coordinator_harness.h
+++ b/tests/unit/ownership/coordinator_harness.h
@@ -1,4 +1,5 @@
-// A coordinator with a store and back ends that answer at once, or not at all, as the test says.
+// Runs a coordinator against a model store and back ends that answer at once, or not at all, as the
+// test configures.
 #pragma once
 
 #include <map>
@@ -21,26 +22,27 @@
 
 class Harness {
  public:
-  /// `port` tells machines apart: a process restarted on its machine has the same.
+  /// `port` identifies the machine: a process restarted on the same machine keeps its port.
   Harness(ModelStore* store, uint64_t incarnation, uint16_t port, Time now,
           const CoordinatorSettings& settings = {});
 
   /// Registers these back ends of the service kService, those of another service, and no others.
   void Register(const std::vector<std::string>& ids,
                 const std::map<std::string, Endpoint>& of_another_service = {});
-  /// The same with these back ends, all of kService.
+  /// Registers exactly these back ends, all of kService.
   void RegisterBackends(const std::vector<catalog::Backend>& backends);
-  /// Lets time pass, with every wake on time.
+  /// Advances the time by `duration` and delivers every wake-up on time.
   void Run(Duration duration);
-  /// Starts, and waits until every back end has been granted its keys.
+  /// Registers these back ends and runs until each of them has been granted its keys.
   void Settle(const std::vector<std::string>& ids);
-  /// Carries out what the coordinator wants now.
+  /// Executes the pending actions of the coordinator.
   void Drain();
 
-  /// Those sent at or after `since`.
+  /// Returns the grants sent at or after `since`.
   std::vector<At<GrantAction>> GrantsSince(Time since) const;
   const std::string& OwnerOf(Key key) const;
   bool IsMoving(Key key) const;
+  /// Returns whether the coordinator reported this state change.
   bool Reported(const std::string& event) const;
 
   static constexpr char kService[] = "boards";
@@ -49,17 +51,17 @@
   ModelStore* store;
   Time now;
   Coordinator coordinator;
-  /// What the coordinator was told.
+  /// The back ends last passed to the coordinator.
   catalog::BackendSet registered;
-  /// The store takes calls and answers.
+  /// The store executes calls and answers them.
   bool store_answers = true;
-  /// The store answers at once that it does nothing.
+  /// The store refuses every transaction at once.
   bool store_refuses = false;
-  /// The store takes transactions, and their answers are lost.
+  /// The store executes transactions, but their answers are lost.
   bool store_loses_answers = false;
-  /// These leave orders unanswered.
+  /// Back ends that leave orders unanswered.
   std::set<std::string> unresponsive;
-  /// Nothing listens at the address of these.
+  /// Back ends whose addresses refuse connections.
   std::set<std::string> unreachable;
 
   std::vector<At<GrantAction>> grants;
--- a/tests/unit/ownership/evacuation_test.cc
+++ b/tests/unit/ownership/evacuation_test.cc
@@ -1,4 +1,4 @@
-// A zone of a third of the back ends is emptied, and taken back.
+// Tests the evacuation of zones that hold a third of the back ends each, and its end.
 #include <absl/strings/str_cat.h>
 
 #include <boost/test/unit_test.hpp>
@@ -33,7 +33,7 @@
     }
     node.RegisterBackends(backends);
   }
-  /// How many ranges the back ends of a zone own.
+  /// Returns the number of ranges that the back ends of a zone own.
   size_t RangesOf(const std::string& zone) const {
     size_t count = 0;
     for (const Assignment& range : node.published.services.at(Harness::kService).assignments) {
@@ -58,7 +58,7 @@
   node.Run(absl::Milliseconds(500));
   BOOST_TEST(RangesOf("zone-1") == 0U);
   BOOST_TEST(Moving() == 0U);
-  // The others took about the same each.
+  // The keys were spread over all remaining back ends.
   for (const catalog::Backend& backend : backends) {
     size_t ranges = 0;
     for (const Assignment& range : node.published.services.at(Harness::kService).assignments) {
@@ -68,7 +68,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(two_zones_may_be_emptied_together) {
+BOOST_AUTO_TEST_CASE(two_zones_can_be_evacuated_together) {
   Evacuate({"zone-0", "zone-1"});
   node.Run(absl::Milliseconds(500));
   BOOST_TEST(RangesOf("zone-0") + RangesOf("zone-1") == 0U);
@@ -82,7 +82,7 @@
   BOOST_TEST(node.published.version.sequence == sequence);
 }
 
-BOOST_AUTO_TEST_CASE(with_no_zone_left_the_owners_stay_and_the_service_comes_back) {
+BOOST_AUTO_TEST_CASE(service_recovers_after_all_zones_were_evacuated) {
   Evacuate({"zone-0", "zone-1", "zone-2"});
   node.Run(absl::Seconds(3));
   Evacuate({});
@@ -91,7 +91,7 @@
   BOOST_TEST(Moving() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(a_zone_that_is_taken_back_cold_gets_no_keys_before_it_is_warm) {
+BOOST_AUTO_TEST_CASE(returning_cold_zone_gets_no_keys_before_it_is_warm) {
   Evacuate({"zone-1"});
   node.Run(absl::Milliseconds(500));
   for (catalog::Backend& backend : backends) {
--- a/tests/unit/ownership/lease_test.cc
+++ b/tests/unit/ownership/lease_test.cc
@@ -1,4 +1,4 @@
-// The lease: rows, the chain of writes, when a holder is challenged, what a holder may do.
+// Tests of the lease: row encoding, the chain of writes, challenges, and the orders of a holder.
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
 
@@ -15,7 +15,7 @@
 const Time kStart = absl::UnixEpoch();
 const NodeIdentity kSelf{7, "node", {"node", 7}};
 
-BOOST_AUTO_TEST_CASE(RowsComeBackAsTheyWere) {
+BOOST_AUTO_TEST_CASE(ServiceRowsSurviveEncoding) {
   ServiceRow row;
   row.assignments = {{{0, 9}, "a", 1000001}, {{10, 99}, "", 0}, {{100, kLastKey}, "a", 2000001}};
   row.addresses["a"] = {"host", 80};
@@ -24,14 +24,14 @@
   BOOST_TEST((decoded.addresses == row.addresses));
 }
 
-BOOST_AUTO_TEST_CASE(ARowThatMissesKeysIsMalformed) {
+BOOST_AUTO_TEST_CASE(ServiceRowsWithMissingKeysAreMalformed) {
   ServiceRow row;
   row.assignments = {{{5, kLastKey}, "a", 1}};
   BOOST_CHECK_THROW(DecodeServiceRow(EncodeServiceRow(row)), Error);
   BOOST_CHECK_THROW(DecodeLeaseRow("?"), Error);
 }
 
-BOOST_AUTO_TEST_CASE(TheLeaseCountsFromTheSendOfTheConfirmedWrite) {
+BOOST_AUTO_TEST_CASE(LeaseStartsAtTheSendOfTheConfirmedWrite) {
   ModelStore store;
   const CoordinatorSettings settings;
   LeaseChain chain(settings, kSelf);
@@ -43,8 +43,9 @@
   BOOST_TEST(!chain.Valid(kStart + settings.lease));
 }
 
-// A machine slept through its lease; what reaches the process first after waking may be anything.
-BOOST_AUTO_TEST_CASE(AHolderThatSleptThroughItsLeaseGrantsNothingWhateverComesFirst) {
+// A holder that was suspended until its lease expired must send no orders, whichever event reaches
+// it first after it resumes.
+BOOST_AUTO_TEST_CASE(SuspendedHolderSendsNoOrdersAfterItsLeaseExpired) {
   enum class First { kTick, kStoreReply, kOrderReply, kLoad, kCatalog };
   for (const First first :
        {First::kTick, First::kStoreReply, First::kOrderReply, First::kLoad, First::kCatalog}) {
@@ -58,7 +59,7 @@
     const At<GrantAction> grant = node.grants.back();
     const store::StoreReply reply = store.Apply(commit.sent.transaction);
     node.now += node.settings.lease + absl::Seconds(1);
-    const Time woken = node.now;
+    const Time resumed = node.now;
     switch (first) {
       case First::kTick:
         node.coordinator.OnTick(node.now);
@@ -78,15 +79,16 @@
     }
     node.Drain();
     BOOST_TEST(!node.coordinator.Holds(node.now));
-    BOOST_TEST(node.GrantsSince(woken).empty());
-    const bool released = std::any_of(node.releases.begin(), node.releases.end(),
-                                      [woken](const auto& release) { return release.at >= woken; });
+    BOOST_TEST(node.GrantsSince(resumed).empty());
+    const bool released =
+        std::any_of(node.releases.begin(), node.releases.end(),
+                    [resumed](const auto& release) { return release.at >= resumed; });
     BOOST_TEST(!released);
   }
 }
 
-// A grant may lie between its decision and its first byte while the machine sleeps.
-BOOST_AUTO_TEST_CASE(AGrantSaysUntilWhenItMayLeave) {
+// The machine may be suspended between the decision to grant and the send of the first byte.
+BOOST_AUTO_TEST_CASE(GrantsCarryTheLatestTimeToSendThem) {
   ModelStore store;
   Harness node(&store, 1, 1, kStart);
   node.Settle({"a"});
@@ -96,7 +98,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(ASlowAnswerDoesNotLengthenTheLease) {
+BOOST_AUTO_TEST_CASE(SlowStoreAnswersDoNotExtendTheLease) {
   ModelStore store;
   CoordinatorSettings settings;
   settings.store_timeout = absl::Seconds(10);
@@ -112,7 +114,7 @@
   BOOST_TEST(!node.coordinator.Holds(slow.at + settings.lease));
 }
 
-BOOST_AUTO_TEST_CASE(OfTwoUnansweredWritesTheStoreTellsWhichWasApplied) {
+BOOST_AUTO_TEST_CASE(ConflictShowsWhichUnansweredWriteWasApplied) {
   ModelStore store;
   LeaseChain chain({}, kSelf);
   chain.Restart(0, {});
@@ -126,7 +128,7 @@
   BOOST_TEST((chain.confirmed_sent() == kStart));
 }
 
-BOOST_AUTO_TEST_CASE(ALateWriteFailsOnceAnotherWasApplied) {
+BOOST_AUTO_TEST_CASE(LateWritesFailAfterAnotherWasApplied) {
   ModelStore store;
   LeaseChain chain({}, kSelf);
   chain.Restart(0, {});
@@ -136,7 +138,7 @@
   BOOST_TEST((store.Apply(late).status == store::StoreStatus::kConflict));
 }
 
-BOOST_AUTO_TEST_CASE(ARowThatStandsStillIsChallengedAndOneThatChangesIsNot) {
+BOOST_AUTO_TEST_CASE(OnlyAnUnchangedLeaseRowIsChallenged) {
   HolderWatch watch({}, kSelf);
   const LeaseRow other{3, 8, 1, {"node", 8}};
   BOOST_TEST(!watch.OnRow(other, 40, kStart));
@@ -145,7 +147,7 @@
   BOOST_TEST(watch.OnRow(other, 41, kStart + absl::Milliseconds(2100)));
 }
 
-BOOST_AUTO_TEST_CASE(AnEndedHolderAndAPredecessorOnTheSameMachineAreChallengedAtOnce) {
+BOOST_AUTO_TEST_CASE(EndedHoldersAndPredecessorsOnThisMachineAreChallengedAtOnce) {
   HolderWatch watch({}, kSelf);
   BOOST_TEST(watch.OnRow(LeaseRow{3, 8, 1, kSelf.peer_address}, 40, kStart));
   const LeaseRow other{3, 9, 1, {"node", 9}};
@@ -155,7 +157,7 @@
   BOOST_TEST(watch.OnRow(other, 41, kStart));
 }
 
-BOOST_AUTO_TEST_CASE(AHeartbeatDisprovesAnEnd) {
+BOOST_AUTO_TEST_CASE(LaterHeartbeatsDisproveAReportedEnd) {
   HolderWatch watch({}, kSelf);
   const LeaseView view{3, 9, {"node", 9}, 40};
   watch.OnHeartbeat(view, kStart);
@@ -166,7 +168,7 @@
   BOOST_TEST((watch.ReadDue() >= later + absl::Seconds(1)));
 }
 
-BOOST_AUTO_TEST_CASE(HeartbeatsKeepAStandbyFromChallenging) {
+BOOST_AUTO_TEST_CASE(StandbysDoNotChallengeWhileHeartbeatsArrive) {
   ModelStore store;
   Harness holder(&store, 1, 1, kStart);
   holder.Settle({"a"});
@@ -178,13 +180,13 @@
     standby.Run(absl::Milliseconds(500));
   }
   BOOST_TEST(standby.commits.empty());
-  const Time silent_since = standby.now;
+  const Time unresponsive_since = standby.now;
   standby.Run(absl::Milliseconds(1500));
   BOOST_TEST(standby.coordinator.Holds(standby.now));
-  BOOST_TEST((standby.commits.front().at >= silent_since + absl::Milliseconds(500)));
+  BOOST_TEST((standby.commits.front().at >= unresponsive_since + absl::Milliseconds(500)));
 }
 
-BOOST_AUTO_TEST_CASE(ASuccessorRenewsCommittedOwnersAtOnceUnderTheirFences) {
+BOOST_AUTO_TEST_CASE(SuccessorsRenewCommittedOwnersAtOnceUnderTheirFences) {
   ModelStore store;
   Harness first(&store, 1, 1, kStart);
   first.Settle({"a", "b"});
@@ -199,29 +201,29 @@
   BOOST_TEST(!second.IsMoving(0));
 }
 
-BOOST_AUTO_TEST_CASE(APredecessorsLeaseCountsFromWhenItsRowWasLastSeenToChange) {
+BOOST_AUTO_TEST_CASE(PredecessorsLeaseIsCountedFromTheLastObservedRowChange) {
   ModelStore store;
   Harness first(&store, 1, 1, kStart);
   first.Settle({"a", "b"});
   Harness second(&store, 2, 2, first.now);
   second.Register({"a", "b"});
-  const Time heard = second.now;
-  second.coordinator.OnHeartbeat(first.coordinator.View(), heard);
+  const Time received_at = second.now;
+  second.coordinator.OnHeartbeat(first.coordinator.View(), received_at);
   second.unresponsive.insert("a");
   second.Run(absl::Seconds(12));
-  const auto granted = second.GrantsSince(heard);
+  const auto granted = second.GrantsSince(received_at);
   const auto moved = std::find_if(granted.begin(), granted.end(), [](const At<GrantAction>& grant) {
     return grant.sent.backend == "b" && grant.sent.range.Contains(0);
   });
   BOOST_REQUIRE((moved != granted.end()));
   const CoordinatorSettings& settings = second.settings;
-  // The predecessor's last holds end with the use of its last map.
+  // The predecessor's last holds end together with the validity of its last map.
   const Duration needed = (settings.lease + settings.map_confirmation) * (1 + settings.clock_drift);
-  BOOST_TEST((moved->at >= heard + needed));
-  BOOST_TEST((moved->at <= heard + needed + settings.slack + absl::Milliseconds(100)));
+  BOOST_TEST((moved->at >= received_at + needed));
+  BOOST_TEST((moved->at <= received_at + needed + settings.slack + absl::Milliseconds(100)));
 }
 
-BOOST_AUTO_TEST_CASE(ADeposedHolderSendsNothingMore) {
+BOOST_AUTO_TEST_CASE(DeposedHoldersSendNoGrants) {
   ModelStore store;
   Harness first(&store, 1, 1, kStart);
   first.Settle({"a"});
@@ -234,7 +236,7 @@
   BOOST_TEST(first.GrantsSince(deposed).empty());
 }
 
-BOOST_AUTO_TEST_CASE(WithTheStoreDownHoldsAreRenewedOftenUntilTheLeaseEnds) {
+BOOST_AUTO_TEST_CASE(HoldsAreRenewedMoreOftenDuringAStoreOutageUntilTheLeaseExpires) {
   ModelStore store;
   CoordinatorSettings settings;
   settings.hold_renewal = absl::Milliseconds(1300);
@@ -247,15 +249,15 @@
   BOOST_TEST((last_grant < last_write + node.settings.lease));
   BOOST_TEST((last_grant >= last_write + node.settings.lease - settings.hold_renewal / 4));
   BOOST_TEST(node.Reported(state_change::kLeaseLapsed));
-  const Time troubled = last_write + 2 * node.settings.lease_renewal;
-  BOOST_TEST((node.GrantsSince(troubled).front().at < troubled + absl::Milliseconds(10)));
+  const Time degraded = last_write + 2 * node.settings.lease_renewal;
+  BOOST_TEST((node.GrantsSince(degraded).front().at < degraded + absl::Milliseconds(10)));
   node.store_answers = true;
   node.Run(absl::Seconds(2));
   BOOST_TEST(node.Reported(state_change::kLeaseRegained));
   BOOST_TEST((node.grants.back().at > last_grant));
 }
 
-BOOST_AUTO_TEST_CASE(ANewEpochBeginsBeforeItsFencesRunOut) {
+BOOST_AUTO_TEST_CASE(NewEpochBeginsBeforeTheFencesRunOut) {
   ModelStore store;
   CoordinatorSettings settings;
   settings.fences_before_new_epoch = 3;
@@ -265,17 +267,17 @@
   node.Run(absl::Seconds(1));
   BOOST_TEST(node.published.version.epoch == 2U);
   partition::Script().next = {{{60, 69}, "b"}};
-  const Time asked = node.now;
+  const Time proposed = node.now;
   node.Run(absl::Seconds(1));
   Fence highest = 0;
-  for (const At<GrantAction>& grant : node.GrantsSince(asked)) {
+  for (const At<GrantAction>& grant : node.GrantsSince(proposed)) {
     highest = std::max(highest, grant.sent.fence);
   }
   BOOST_TEST(highest > FenceOf(2, 0));
   BOOST_TEST(!node.Reported(state_change::kLeaseLost));
 }
 
-BOOST_AUTO_TEST_CASE(AResignedNodeFinishesMovesAndNeverHoldsAgain) {
+BOOST_AUTO_TEST_CASE(ResignedNodesFinishMovesAndNeverHoldTheLeaseAgain) {
   ModelStore store;
   Harness node(&store, 1, 1, kStart);
   node.Settle({"a", "b"});
--- a/tests/unit/ownership/outage_test.cc
+++ b/tests/unit/ownership/outage_test.cc
@@ -1,4 +1,4 @@
-// A store that is away for a while: for the holder, for standbys, for all of them.
+// Tests of temporary store outages that affect the holder, standbys, or all nodes.
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
 #include <map>
@@ -23,7 +23,7 @@
   Harness node;
 };
 
-/// The longest time for which an owner held nothing, from `since` on.
+/// Returns the longest time from `since` on for which an owner held no keys.
 Duration LongestGap(const Harness& node, Time since) {
   std::map<std::string, Time> held_until;
   Duration longest = absl::ZeroDuration();
@@ -37,31 +37,31 @@
   return longest;
 }
 
-BOOST_AUTO_TEST_CASE(OwnersKeepTheirKeysThroughAnOutageOfTheStore) {
+BOOST_AUTO_TEST_CASE(OwnersKeepTheirKeysDuringAStoreOutage) {
   for (const int seconds : {3, 5, 8}) {
     Holding holding;
     Harness& node = holding.node;
-    const Time away = node.now;
+    const Time outage_start = node.now;
     const uint64_t epoch = node.coordinator.View().epoch;
     node.store_answers = false;
     node.Run(absl::Seconds(seconds));
     node.store_answers = true;
-    const Time back = node.now;
+    const Time recovered = node.now;
     node.Run(absl::Seconds(1));
-    BOOST_TEST((LongestGap(node, away) == absl::ZeroDuration()), seconds);
+    BOOST_TEST((LongestGap(node, outage_start) == absl::ZeroDuration()), seconds);
     BOOST_TEST(node.coordinator.Holds(node.now));
     BOOST_TEST(node.coordinator.View().epoch == epoch);
     BOOST_TEST(!node.IsMoving(0));
-    const auto written =
-        std::find_if(node.commits.begin(), node.commits.end(),
-                     [back](const At<CommitAction>& commit) { return commit.at >= back; });
+    const auto written = std::find_if(
+        node.commits.begin(), node.commits.end(),
+        [recovered](const At<CommitAction>& commit) { return commit.at >= recovered; });
     BOOST_REQUIRE((written != node.commits.end()));
-    // A write that was under way when the store came back has its whole time-out.
-    BOOST_TEST((written->at - back <= node.settings.store_timeout + absl::Milliseconds(300)));
+    // A write in flight when the store recovered is given its full time-out.
+    BOOST_TEST((written->at - recovered <= node.settings.store_timeout + absl::Milliseconds(300)));
   }
 }
 
-BOOST_AUTO_TEST_CASE(AStoreThatRefusesIsAskedOftenByTheHolder) {
+BOOST_AUTO_TEST_CASE(HolderRetriesOftenWhileTheStoreRefuses) {
   Holding holding;
   Harness& node = holding.node;
   node.store_refuses = true;
@@ -73,7 +73,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(AfterALongOutageTheSameHolderGrantsAtOnce) {
+BOOST_AUTO_TEST_CASE(SameHolderGrantsAtOnceAfterALongOutage) {
   Holding holding;
   Harness& node = holding.node;
   const uint64_t epoch = node.coordinator.View().epoch;
@@ -81,15 +81,15 @@
   node.Run(absl::Seconds(12));
   BOOST_TEST(!node.coordinator.Holds(node.now));
   node.store_answers = true;
-  const Time back = node.now;
+  const Time recovered = node.now;
   node.Run(absl::Seconds(1));
   BOOST_TEST(node.coordinator.View().epoch == epoch);
-  const auto grants = node.GrantsSince(back);
+  const auto grants = node.GrantsSince(recovered);
   BOOST_REQUIRE(grants.size() >= 2U);
-  BOOST_TEST((grants[1].at - back <= node.settings.store_timeout + absl::Milliseconds(310)));
+  BOOST_TEST((grants[1].at - recovered <= node.settings.store_timeout + absl::Milliseconds(310)));
 }
 
-BOOST_AUTO_TEST_CASE(NoHoldOutlivesTheLeaseByMoreThanTheUseOfMaps) {
+BOOST_AUTO_TEST_CASE(HoldsOutliveTheLeaseByAtMostTheMapConfirmation) {
   for (const int hold_ms : {1500, 4500, 8000}) {
     CoordinatorSettings settings;
     settings.hold = absl::Milliseconds(hold_ms);
@@ -106,7 +106,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(AHolderThatIsHeardOfButDoesNotRenewIsChallenged) {
+BOOST_AUTO_TEST_CASE(HolderThatSendsHeartbeatsButDoesNotRenewIsChallenged) {
   const CoordinatorSettings settings;
   HolderWatch watch(settings, {7, "node", {"node", 7}});
   const LeaseView view{3, 9, {"node", 9}, 40};
@@ -123,11 +123,11 @@
   }
   BOOST_TEST(watch.HolderUnrenewed(now));
   BOOST_TEST((watch.ReadDue() <= now));
-  // In vain: the next look waits, whatever is heard.
+  // After a failed read the next one is delayed in spite of heartbeats.
   watch.OnFailure(now);
   watch.OnHeartbeat(view, now + kHeartbeats);
   BOOST_TEST((watch.ReadDue() > now + settings.heartbeat_timeout));
-  // It renews again.
+  // The holder renews its row again.
   LeaseView renewed = view;
   renewed.row_version = 41;
   watch.OnHeartbeat(renewed, now + kHeartbeats);
@@ -135,7 +135,7 @@
   BOOST_TEST((watch.ReadDue() > now + settings.heartbeat_timeout));
 }
 
-BOOST_AUTO_TEST_CASE(AHolderThatAloneLostTheStoreIsReplacedWhileItIsHeardOf) {
+BOOST_AUTO_TEST_CASE(HolderThatAloneLostTheStoreIsReplacedInSpiteOfHeartbeats) {
   Holding holding;
   Harness& holder = holding.node;
   Harness standby(&holding.store, 2, 2, holder.now);
@@ -157,32 +157,33 @@
   BOOST_TEST(!holder.coordinator.Holds(holder.now));
 }
 
-/// All read in vain as long as the store is away; the first one that does not must not depose a
-/// holder that is about to renew.
-BOOST_AUTO_TEST_CASE(AHolderIsLeftTimeToRenewWhenTheStoreIsBack) {
+/// The reads of all standbys fail during an outage. The first standby whose read succeeds must not
+/// depose a holder that is about to renew.
+BOOST_AUTO_TEST_CASE(HolderHasTimeToRenewAfterTheStoreRecovers) {
   const CoordinatorSettings settings;
   HolderWatch watch(settings, {7, "node", {"node", 7}});
   const LeaseRow row{3, 9, 1, {"node", 9}};
   watch.OnHeartbeat({3, 9, {"node", 9}, 40}, kStart);
-  const Time away = kStart + absl::Seconds(5);
-  watch.OnFailure(away);
-  const Time back = away + absl::Seconds(1);
-  BOOST_TEST(!watch.OnRow(row, 40, back));
-  BOOST_TEST((watch.ReadDue() >= back + absl::Milliseconds(300)));
-  BOOST_TEST((watch.ReadDue() <= back + absl::Milliseconds(500)));
+  const Time outage_start = kStart + absl::Seconds(5);
+  watch.OnFailure(outage_start);
+  const Time recovered = outage_start + absl::Seconds(1);
+  BOOST_TEST(!watch.OnRow(row, 40, recovered));
+  BOOST_TEST((watch.ReadDue() >= recovered + absl::Milliseconds(300)));
+  BOOST_TEST((watch.ReadDue() <= recovered + absl::Milliseconds(500)));
   BOOST_TEST(watch.OnRow(row, 40, watch.ReadDue()));
-  watch.OnFailure(away);
-  watch.OnEnded(9, back);
-  BOOST_TEST(watch.OnRow(row, 40, back));
+  watch.OnFailure(outage_start);
+  watch.OnEnded(9, recovered);
+  BOOST_TEST(watch.OnRow(row, 40, recovered));
 }
 
-BOOST_AUTO_TEST_CASE(AStandbyAsksAStoreThatIsAwayRarelyWhileTheHolderIsHeardOf) {
+BOOST_AUTO_TEST_CASE(StandbysReadRarelyDuringAnOutageWhileHeartbeatsArrive) {
   Holding holding;
   Harness standby(&holding.store, 2, 2, holding.node.now);
   standby.Register({"a", "b"});
   standby.store_answers = false;
   const LeaseView view = holding.node.coordinator.View();
-  for (Duration away = absl::ZeroDuration(); away < absl::Seconds(8); away += kHeartbeats) {
+  for (Duration elapsed = absl::ZeroDuration(); elapsed < absl::Seconds(8);
+       elapsed += kHeartbeats) {
     standby.coordinator.OnHeartbeat(view, standby.now);
     standby.Run(kHeartbeats);
   }
--- a/tests/unit/ownership/renewals_test.cc
+++ b/tests/unit/ownership/renewals_test.cc
@@ -1,5 +1,5 @@
-// Renewals by a coordinator of many back ends: how many a step, how often, and before anything
-// else.
+// Tests of renewals for many back ends: orders per step, renewal intervals, and priority over
+// balancing.
 #include <absl/strings/str_cat.h>
 
 #include <boost/test/unit_test.hpp>
@@ -30,13 +30,14 @@
   return ids;
 }
 
-/// The work at each answer must not grow with the number of ranges, nor one step with that of
-/// orders: 385 owners of 1,182 ranges once kept half a core busy until the lease had run out.
-BOOST_AUTO_TEST_CASE(OneStepSendsFewOrdersHoweverManyAreDue) {
+/// The work per answer must not grow with the number of ranges, nor the work per step with the
+/// number of orders. Otherwise 385 owners of 1,182 ranges keep half a core busy until the lease
+/// expires.
+BOOST_AUTO_TEST_CASE(OrdersPerStepAreLimited) {
   const std::vector<std::string> ids = ManyIds(300);
   ModelStore store;
   Harness node(&store, 1, 1, kStart);
-  // Answers would bring the next step within the same moment.
+  // Answers would cause the next step at the same time.
   node.unresponsive.insert(ids.begin(), ids.end());
   node.Register(ids);
   while (node.grants.size() < ids.size()) {
@@ -52,7 +53,7 @@
   BOOST_TEST((node.grants[ids.size() - 1].at - node.grants.front().at < absl::Milliseconds(1)));
 }
 
-BOOST_AUTO_TEST_CASE(AnAnsweredRenewalChangesNothingThatIsLookedAt) {
+BOOST_AUTO_TEST_CASE(AnsweredRenewalsDoNotCauseAStep) {
   Holding holding({"a", "b"});
   Harness& node = holding.node;
   node.unresponsive.insert("a");
@@ -65,16 +66,16 @@
   BOOST_TEST((node.coordinator.NextWake() == wake));
 }
 
-BOOST_AUTO_TEST_CASE(ManyRangesAreRenewedMoreRarelyButWithinTheirHold) {
+BOOST_AUTO_TEST_CASE(ManyRangesAreRenewedLessOftenButWithinTheirHold) {
   CoordinatorSettings settings;
   settings.renewals_per_second = 10;
   const std::vector<std::string> ids = ManyIds(60);
   Holding holding(ids, settings);
   Harness& node = holding.node;
-  const Time calm = node.now;
+  const Time settled = node.now;
   node.Run(absl::Seconds(20));
   std::map<std::string, Time> last;
-  for (const At<GrantAction>& grant : node.GrantsSince(calm)) {
+  for (const At<GrantAction>& grant : node.GrantsSince(settled)) {
     const auto before = last.find(grant.sent.backend);
     if (before != last.end()) {
       BOOST_TEST((grant.at - before->second <= settings.hold * 0.3 + absl::Milliseconds(1)));
@@ -85,7 +86,7 @@
   BOOST_TEST(last.size() == ids.size());
 }
 
-BOOST_AUTO_TEST_CASE(ASuccessorBalancesOnlyOnceTheOwnersHaveAnswered) {
+BOOST_AUTO_TEST_CASE(SuccessorsBalanceOnlyAfterTheOwnersHaveAnswered) {
   Holding holding({"a", "b"});
   const Time taken = holding.node.now;
   Harness successor(&holding.store, 2, 2, taken);
--- a/tests/unit/ownership/restart_test.cc
+++ b/tests/unit/ownership/restart_test.cc
@@ -1,5 +1,5 @@
-// Owners that start again under their names: they hold nothing, and their keys get a fence above
-// all that were given to the earlier incarnation.
+// Tests of owners that restart under the same name: the new incarnation holds no keys, and its keys
+// get a fence above all fences of the earlier incarnation.
 #include <boost/test/unit_test.hpp>
 
 #include "coordinator_harness.h"
@@ -33,7 +33,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(Restart, Fixture)
 
-BOOST_AUTO_TEST_CASE(KeysOfARestartedOwnerAreReleasedAndGrantedAnewAtOnce) {
+BOOST_AUTO_TEST_CASE(KeysOfARestartedOwnerAreReleasedAndGrantedAgainAtOnce) {
   node.RegisterBackends({MakeBackend("a@1", "a")});
   node.Run(absl::Seconds(3));
   BOOST_TEST(node.OwnerOf(7) == "a@1");
@@ -43,7 +43,7 @@
   node.Run(absl::Seconds(1));
   BOOST_TEST(node.OwnerOf(7) == "a@2");
   BOOST_TEST(!node.IsMoving(7));
-  // A renewal for the earlier one may have reached it, so that it is asked to release first.
+  // A renewal for the earlier incarnation may have reached the new one, so a release is sent first.
   BOOST_REQUIRE(!node.releases.empty());
   BOOST_TEST(node.releases.back().sent.fence > before);
   for (const At<GrantAction>& grant : node.GrantsSince(restarted)) {
@@ -53,7 +53,7 @@
   BOOST_TEST(!node.Reported(std::string(state_change::kOwnerWaitedOut)));
 }
 
-BOOST_AUTO_TEST_CASE(ARestartAtAnotherAddressProvesTheEndOfTheEarlierOne) {
+BOOST_AUTO_TEST_CASE(RestartAtAnotherAddressProvesTheEndOfTheEarlierIncarnation) {
   node.RegisterBackends({MakeBackend("a@1", "a")});
   node.Run(absl::Seconds(3));
   const Fence before = HighestFence();
@@ -64,7 +64,7 @@
   BOOST_TEST(node.grants.back().sent.fence > before);
 }
 
-BOOST_AUTO_TEST_CASE(ALateRowOfAnEarlierStartProvesNothing) {
+BOOST_AUTO_TEST_CASE(LateRowOfAnEarlierIncarnationProvesNoEnd) {
   BackendDirectory directory{CoordinatorSettings()};
   directory.Update({{MakeBackend("a@2", "a")}, {}}, {Harness::kService});
   const RegistrationChanges changes =
