--- a/tests/unit/ownership/coordinator_harness.cc
+++ b/tests/unit/ownership/coordinator_harness.cc
@@ -88,8 +88,8 @@
         Order(release->call, release->backend, "handover of " + release->backend);
       } else if (const auto* publish = std::get_if<PublishAction>(&action)) {
         published = publish->map;
-      } else if (const auto* state_change = std::get_if<StateChangeAction>(&action)) {
-        state_changes.push_back({now, *state_change});
+      } else if (const auto* change = std::get_if<StateChangeAction>(&action)) {
+        state_changes.push_back({now, *change});
       }
     }
   }
@@ -121,10 +121,9 @@
 }
 
 bool Harness::Reported(const std::string& event) const {
-  return std::any_of(state_changes.begin(), state_changes.end(),
-                     [&event](const At<StateChangeAction>& state_change) {
-                       return state_change.sent.event == event;
-                     });
+  return std::any_of(
+      state_changes.begin(), state_changes.end(),
+      [&event](const At<StateChangeAction>& change) { return change.sent.event == event; });
 }
 
 }  // namespace ladderstream::ownership
