--- a/src/core/ownership/assignment_table.cc
+++ b/src/core/ownership/assignment_table.cc
@@ -29,7 +29,7 @@
   entries_.emplace_hint(std::next(found), first, std::move(tail));
 }
 
-void AssignmentTable::JoinWithPrevious(Key first) {
+void AssignmentTable::MergeWithPrevious(Key first) {
   const auto entry = entries_.find(first);
   if (entry == entries_.end() || entry == entries_.begin()) {
     return;
@@ -47,8 +47,8 @@
   const auto begin = entries_.find(range.first);
   begin->second = {range.last, owner, fence};
   entries_.erase(std::next(begin), entries_.upper_bound(range.last));
-  JoinWithPrevious(range.last + 1);
-  JoinWithPrevious(range.first);
+  MergeWithPrevious(range.last + 1);
+  MergeWithPrevious(range.first);
 }
 
 Assignments AssignmentTable::Slice(const KeyRange& range) const {
--- a/src/core/ownership/assignment_table.h
+++ b/src/core/ownership/assignment_table.h
@@ -34,7 +34,7 @@
   /// Makes a range begin at `first`, unless that lies behind all keys.
   void CutAt(Key first);
   /// Joins the range that begins at `first` with the one before it, if both agree.
-  void JoinWithPrevious(Key first);
+  void MergeWithPrevious(Key first);
 
   Entries entries_;
 };
--- a/src/core/ownership/backend_directory.cc
+++ b/src/core/ownership/backend_directory.cc
@@ -9,38 +9,38 @@
 namespace {
 
 /// Fewer failures in a row than this may be chance, or a pause of this process.
-constexpr uint32_t kSilentFailures = 3;
+constexpr uint32_t kUnresponsiveFailures = 3;
 
 /// How long a silent back end gets no keys; doubled each time that it turns silent again without an
 /// answer between.
-constexpr Duration kFirstDistrust = absl::Seconds(3);
-constexpr Duration kLastDistrust = absl::Seconds(30);
+constexpr Duration kMinExclusion = absl::Seconds(3);
+constexpr Duration kMaxExclusion = absl::Seconds(30);
 
 /// Counts of rests and answers fade with this time constant: that of the reports of a few turns.
-constexpr Duration kDeclinedMemory = absl::Seconds(3);
+constexpr Duration kDeclinedDecay = absl::Seconds(3);
 /// One rest may be chance; so may be some beside so many answers.
-constexpr double kDeclinedToAvoid = 1.5;
-constexpr double kDeclinedShare = 0.25;
+constexpr double kMinDeclinedToAvoid = 1.5;
+constexpr double kMinDeclinedShare = 0.25;
 /// A back end that goes on declining gets no keys for twice as long each time, as every change of
 /// owner is paid for; a minute after it was given some again that is forgotten.
-constexpr Duration kShortestAvoidance = absl::Seconds(5);
-constexpr Duration kLongestAvoidance = absl::Minutes(1);
-constexpr Duration kForgetAvoidance = absl::Minutes(1);
+constexpr Duration kMinAvoidance = absl::Seconds(5);
+constexpr Duration kMaxAvoidance = absl::Minutes(1);
+constexpr Duration kAvoidanceMemory = absl::Minutes(1);
 /// Where more of a service are ill, or all are overloaded, moving keys only moves the trouble:
 /// deployments are made to bear the loss of one zone of three.
-constexpr double kMostAvoided = 1.0 / 3;
+constexpr double kMaxAvoidedShare = 1.0 / 3;
 
 /// Where a whole service comes to have limits, or to have none any more, its back ends say so one
 /// after the other: keys would go from those that did to those that are about to. Limits are taken
-/// up when none came or went for kLimitsSettle, and kLimitsTakenUp after the first at the latest.
+/// up when none came or went for kLimitsSettle, and kMaxLimitsSettle after the first at the latest.
 constexpr Duration kLimitsSettle = absl::Seconds(1);
-constexpr Duration kLimitsTakenUp = absl::Seconds(3);
+constexpr Duration kMaxLimitsSettle = absl::Seconds(3);
 
 /// With fewer back ends, nothing is concluded from most of them being silent.
-constexpr size_t kFewestForMajority = 3;
+constexpr size_t kMinForMajority = 3;
 
 void FadeCounts(KnownBackend* backend, Time now) {
-  const double left = ExponentialDecay(now - backend->counted_at, kDeclinedMemory);
+  const double left = ExponentialDecay(now - backend->counted_at, kDeclinedDecay);
   backend->declined *= left;
   backend->served *= left;
   backend->counted_at = now;
@@ -50,12 +50,12 @@
 
 BackendDirectory::BackendDirectory(const CoordinatorSettings& settings) : settings_(settings) {}
 
-void BackendDirectory::Index(const std::string& id, const KnownBackend& known) {
+void BackendDirectory::AddToIndexes(const std::string& id, const KnownBackend& known) {
   by_address_[known.address].insert(id);
   by_instance_[std::string(catalog::InstanceOf(id))].insert(id);
 }
 
-void BackendDirectory::Unindex(const std::string& id, const KnownBackend& known) {
+void BackendDirectory::RemoveFromIndexes(const std::string& id, const KnownBackend& known) {
   const auto erase = [&id](auto* index, const auto& key) {
     const auto entry = index->find(key);
     if (entry != index->end() && entry->second.erase(id) > 0 && entry->second.empty()) {
@@ -69,26 +69,26 @@
 void BackendDirectory::FindEnded(const catalog::Backend& newcomer,
                                  std::vector<std::string>* ended) const {
   const std::string_view instance = catalog::InstanceOf(newcomer.id);
-  const auto note = [&](const std::string& id) {
+  const auto add_ended = [&](const std::string& id) {
     if (!backends_.at(id).ended) {
       ended->push_back(id);
     }
   };
-  const auto there = by_address_.find(newcomer.address);
-  if (there != by_address_.end()) {
-    for (const std::string& id : there->second) {
+  const auto at_address = by_address_.find(newcomer.address);
+  if (at_address != by_address_.end()) {
+    for (const std::string& id : at_address->second) {
       if (catalog::InstanceOf(id) != instance) {
-        note(id);
+        add_ended(id);
       }
     }
   }
-  const auto same = by_instance_.find(instance);
-  if (same != by_instance_.end()) {
-    for (const std::string& id : same->second) {
+  const auto same_instance = by_instance_.find(instance);
+  if (same_instance != by_instance_.end()) {
+    for (const std::string& id : same_instance->second) {
       // An old row may be read late: only a later start proves that an earlier one ended.
       if (backends_.at(id).address != newcomer.address &&
           catalog::StartOf(newcomer.id) > catalog::StartOf(id)) {
-        note(id);
+        add_ended(id);
       }
     }
   }
@@ -100,12 +100,12 @@
   }
   ServiceCounts& counts = counts_[known.service];
   counts.registered += static_cast<size_t>(by);
-  counts.silent += known.silent ? static_cast<size_t>(by) : 0;
+  counts.unresponsive += known.unresponsive ? static_cast<size_t>(by) : 0;
 }
 
-void BackendDirectory::SetSilent(KnownBackend* known, bool silent) {
+void BackendDirectory::SetUnresponsive(KnownBackend* known, bool unresponsive) {
   Count(*known, -1);
-  known->silent = silent;
+  known->unresponsive = unresponsive;
   Count(*known, 1);
 }
 
@@ -135,7 +135,7 @@
     const bool differs = is_new || !known.registered || known.leaving != backend.Leaves();
     found.any = found.any || (differs && sharded.contains(backend.service));
     if (!is_new) {
-      Unindex(backend.id, known);
+      RemoveFromIndexes(backend.id, known);
     }
     Count(known, -1);
     registered_count_ += known.registered ? 0 : 1;
@@ -148,12 +148,12 @@
     known.cold_until = backend.cold_until;
     known.bounded_by_cold = backend.cold_requests_per_second > 0;
     Count(known, 1);
-    Index(backend.id, known);
+    AddToIndexes(backend.id, known);
   }
   return found;
 }
 
-void BackendDirectory::Remember(const std::string& id, const std::string& service,
+void BackendDirectory::AddOwner(const std::string& id, const std::string& service,
                                 const Endpoint& address) {
   const auto [place, is_new] = backends_.try_emplace(id);
   KnownBackend& known = place->second;
@@ -161,21 +161,21 @@
     return;
   }
   if (!is_new) {
-    Unindex(id, known);
+    RemoveFromIndexes(id, known);
   }
   known.service = service;
   known.address = address;
-  Index(id, known);
+  AddToIndexes(id, known);
 }
 
-void BackendDirectory::ForgetUnneeded(const std::set<std::string>& needed) {
+void BackendDirectory::PruneUnregistered(const std::set<std::string>& needed) {
   for (auto entry = backends_.begin(); entry != backends_.end();) {
     const auto& [id, known] = *entry;
     if (known.registered || needed.contains(id)) {
       ++entry;
       continue;
     }
-    Unindex(id, known);
+    RemoveFromIndexes(id, known);
     failing_.erase(id);
     entry = backends_.erase(entry);
   }
@@ -184,7 +184,7 @@
 void BackendDirectory::MarkEnded(const std::string& id) {
   const auto [place, is_new] = backends_.try_emplace(id);
   if (is_new) {
-    Index(id, place->second);
+    AddToIndexes(id, place->second);
   }
   Count(place->second, -1);
   place->second.ended = true;
@@ -196,16 +196,16 @@
     return false;
   }
   KnownBackend& known = found->second;
-  const bool was_silent = known.silent;
+  const bool was_unresponsive = known.unresponsive;
   known.failures = 0;
   known.only_refused = true;
   known.failing_since = absl::InfiniteFuture();
-  if (was_silent) {
-    SetSilent(&known, false);
+  if (was_unresponsive) {
+    SetUnresponsive(&known, false);
   }
-  known.distrust = absl::ZeroDuration();
+  known.exclusion = absl::ZeroDuration();
   failing_.erase(id);
-  return was_silent;
+  return was_unresponsive;
 }
 
 void BackendDirectory::RecordFailure(const std::string& id, bool refused, Time sent, Time now) {
@@ -222,7 +222,7 @@
   failing_.insert(id);
 }
 
-bool BackendDirectory::RecordDeclined(const std::string& id, Duration rest, Time now) {
+bool BackendDirectory::RecordDeclined(const std::string& id, Duration backoff, Time now) {
   const auto found = backends_.find(id);
   if (found == backends_.end()) {
     return false;
@@ -230,19 +230,19 @@
   KnownBackend& known = found->second;
   FadeCounts(&known, now);
   known.declined += 1;
-  if (now < known.avoided_until || known.declined < kDeclinedToAvoid ||
-      known.declined < kDeclinedShare * known.served) {
+  if (now < known.avoided_until || known.declined < kMinDeclinedToAvoid ||
+      known.declined < kMinDeclinedShare * known.served) {
     return false;
   }
-  const bool again = now - known.avoided_until < kForgetAvoidance;
-  known.avoidance = std::clamp(again ? std::max(rest, 2 * known.avoidance) : rest,
-                               kShortestAvoidance, kLongestAvoidance);
+  const bool again = now - known.avoided_until < kAvoidanceMemory;
+  known.avoidance = std::clamp(again ? std::max(backoff, 2 * known.avoidance) : backoff,
+                               kMinAvoidance, kMaxAvoidance);
   known.avoided_until = now + known.avoidance;
   return true;
 }
 
 bool BackendDirectory::HaveSettled(const LimitChanges& changes, Time now) {
-  return now - changes.last >= kLimitsSettle || now - changes.first >= kLimitsTakenUp;
+  return now - changes.last >= kLimitsSettle || now - changes.first >= kMaxLimitsSettle;
 }
 
 void BackendDirectory::SetRateLimits(const std::map<std::string, double>& limits, Time now) {
@@ -252,19 +252,19 @@
   any_limited_ = !limits.empty();
   for (auto& [id, known] : backends_) {
     const auto limit = limits.find(id);
-    const auto told = limit == limits.end() ? std::nullopt : std::optional(limit->second);
-    if (told.has_value() != known.told_limit.has_value()) {
+    const auto reported = limit == limits.end() ? std::nullopt : std::optional(limit->second);
+    if (reported.has_value() != known.reported_limit.has_value()) {
       LimitChanges& changes = limit_changes_[known.service];
       changes.first = std::min(changes.first, now);
       changes.last = now;
     }
-    known.told_limit = told;
+    known.reported_limit = reported;
   }
   for (auto& [id, known] : backends_) {
     const auto changes = limit_changes_.find(known.service);
     const bool settled = changes == limit_changes_.end() || HaveSettled(changes->second, now);
-    if (settled || (known.rate_limit.has_value() && known.told_limit.has_value())) {
-      known.rate_limit = known.told_limit;
+    if (settled || (known.rate_limit.has_value() && known.reported_limit.has_value())) {
+      known.rate_limit = known.reported_limit;
     }
   }
   std::erase_if(limit_changes_,
@@ -291,49 +291,50 @@
       avoided += now < known.avoided_until ? 1 : 0;
     }
   }
-  return static_cast<double>(avoided) <= kMostAvoided * static_cast<double>(accepting);
+  return static_cast<double>(avoided) <= kMaxAvoidedShare * static_cast<double>(accepting);
 }
 
 void BackendDirectory::RecordUnansweredRelease(const std::string& id, Time now) {
   const auto found = backends_.find(id);
-  if (found != backends_.end() && found->second.silent) {
-    found->second.distrusted_until =
-        std::max(found->second.distrusted_until, now + found->second.distrust);
+  if (found != backends_.end() && found->second.unresponsive) {
+    found->second.excluded_until =
+        std::max(found->second.excluded_until, now + found->second.exclusion);
   }
 }
 
-std::vector<std::string> BackendDirectory::TakeSilent(Time now) {
-  std::vector<std::string> turned_silent;
+std::vector<std::string> BackendDirectory::TakeNewlyUnresponsive(Time now) {
+  std::vector<std::string> newly_unresponsive;
   std::erase_if(failing_, [&](const std::string& id) {
     KnownBackend& known = backends_.at(id);
-    if (known.silent && now >= known.distrusted_until) {
-      SetSilent(&known, false);
+    if (known.unresponsive && now >= known.excluded_until) {
+      SetUnresponsive(&known, false);
       known.failures = 0;
       known.only_refused = true;
       known.failing_since = absl::InfiniteFuture();
       return true;
     }
-    const Duration patience =
+    const Duration unresponsive_timeout =
         known.only_refused ? settings_.refusal_patience : settings_.silence_patience;
-    if (known.silent || known.failures < kSilentFailures || now - known.failing_since < patience) {
+    if (known.unresponsive || known.failures < kUnresponsiveFailures ||
+        now - known.failing_since < unresponsive_timeout) {
       return false;
     }
-    SetSilent(&known, true);
-    known.distrust = std::clamp(known.distrust * 2, kFirstDistrust, kLastDistrust);
-    known.distrusted_until = now + known.distrust;
-    turned_silent.push_back(id);
+    SetUnresponsive(&known, true);
+    known.exclusion = std::clamp(known.exclusion * 2, kMinExclusion, kMaxExclusion);
+    known.excluded_until = now + known.exclusion;
+    newly_unresponsive.push_back(id);
     return false;
   });
-  return turned_silent;
+  return newly_unresponsive;
 }
 
-Time BackendDirectory::NextSilence() const {
+Time BackendDirectory::NextUnresponsiveCheck() const {
   Time next = absl::InfiniteFuture();
   for (const std::string& id : failing_) {
     const KnownBackend& known = backends_.at(id);
-    if (known.silent) {
-      next = std::min(next, known.distrusted_until);
-    } else if (known.failures >= kSilentFailures) {
+    if (known.unresponsive) {
+      next = std::min(next, known.excluded_until);
+    } else if (known.failures >= kUnresponsiveFailures) {
       next =
           std::min(next, known.failing_since + (known.only_refused ? settings_.refusal_patience
                                                                    : settings_.silence_patience));
@@ -360,13 +361,13 @@
 bool BackendDirectory::Accepts(const std::string& id) const {
   const KnownBackend* known = Find(id);
   return known != nullptr && known->registered && !known->leaving && !known->ended &&
-         !known->silent;
+         !known->unresponsive;
 }
 
 bool BackendDirectory::Keeps(const std::string& id) const {
   const KnownBackend* known = Find(id);
   return known != nullptr && known->registered && !known->leaving && !known->ended &&
-         !(known->silent && !MostAreSilent(known->service));
+         !(known->unresponsive && !MostAreUnresponsive(known->service));
 }
 
 bool BackendDirectory::AnyAccepts(const std::string& service) const {
@@ -382,10 +383,10 @@
   });
 }
 
-bool BackendDirectory::MostAreSilent(const std::string& service) const {
+bool BackendDirectory::MostAreUnresponsive(const std::string& service) const {
   const auto counts = counts_.find(service);
-  return counts != counts_.end() && counts->second.registered >= kFewestForMajority &&
-         counts->second.silent * 2 > counts->second.registered;
+  return counts != counts_.end() && counts->second.registered >= kMinForMajority &&
+         counts->second.unresponsive * 2 > counts->second.registered;
 }
 
 std::vector<partition::PartitionBackend> BackendDirectory::ForPartitioner(
--- a/src/core/ownership/backend_directory.h
+++ b/src/core/ownership/backend_directory.h
@@ -41,7 +41,7 @@
 
   /// Requests a second that it takes from all nodes together, as it last said, and as partitioning
   /// takes it.
-  std::optional<double> told_limit;
+  std::optional<double> reported_limit;
   std::optional<double> rate_limit;
 
   /// Grants in a row that were not confirmed.
@@ -49,10 +49,10 @@
   /// Every one of them was a refused connection.
   bool only_refused = true;
   Time failing_since = absl::InfiniteFuture();
-  bool silent = false;
+  bool unresponsive = false;
   /// A silent back end may be tried with keys again from then on.
-  Time distrusted_until = absl::InfinitePast();
-  Duration distrust = absl::ZeroDuration();
+  Time excluded_until = absl::InfinitePast();
+  Duration exclusion = absl::ZeroDuration();
 };
 
 /// What an update of the registered back ends showed.
@@ -75,11 +75,11 @@
   RegistrationChanges Update(const catalog::BackendChanges& changes,
                              const std::set<std::string>& sharded);
   /// An owner that a row of the store names, and its address.
-  void Remember(const std::string& id, const std::string& service, const Endpoint& address);
+  void AddOwner(const std::string& id, const std::string& service, const Endpoint& address);
   /// Very many are known that are not registered.
-  bool RemembersMany() const { return backends_.size() - registered_count_ > kMostRemembered; }
+  bool NeedsPruning() const { return backends_.size() - registered_count_ > kMaxUnregistered; }
   /// Forgets those that are neither registered nor in `needed`.
-  void ForgetUnneeded(const std::set<std::string>& needed);
+  void PruneUnregistered(const std::set<std::string>& needed);
 
   void MarkEnded(const std::string& id);
   /// It answered an order. Gives whether it was silent until now.
@@ -88,7 +88,7 @@
   void RecordFailure(const std::string& id, bool refused, Time sent, Time now);
   /// A node leaves it alone for `rest`, since it turned a request away with free slots. Gives
   /// whether its keys are to go elsewhere from now on.
-  bool RecordDeclined(const std::string& id, Duration rest, Time now);
+  bool RecordDeclined(const std::string& id, Duration backoff, Time now);
   /// The limits that back ends have named, in requests a second; all others have none. Taken up
   /// once the service's limits have settled.
   void SetRateLimits(const std::map<std::string, double>& limits, Time now);
@@ -97,9 +97,9 @@
   /// It left a release unanswered: if it is silent, it stays so for a while longer.
   void RecordUnansweredRelease(const std::string& id, Time now);
   /// Gives those that turned silent since the last call.
-  std::vector<std::string> TakeSilent(Time now);
-  /// When TakeSilent() may give something next.
-  Time NextSilence() const;
+  std::vector<std::string> TakeNewlyUnresponsive(Time now);
+  /// When TakeNewlyUnresponsive() may give something next.
+  Time NextUnresponsiveCheck() const;
 
   /// Null when nothing is known of it.
   const KnownBackend* Find(const std::string& id) const;
@@ -119,23 +119,23 @@
  private:
   /// Back ends that have gone are forgotten only above this many: the row of one that is known may
   /// come back late without passing for a newcomer at its address.
-  static constexpr size_t kMostRemembered = 2048;
+  static constexpr size_t kMaxUnregistered = 2048;
 
   /// Those of one service that are registered and have not ended.
   struct ServiceCounts {
     size_t registered = 0;
-    size_t silent = 0;
+    size_t unresponsive = 0;
   };
 
   /// Adds a back end that is not known to the indexes, or takes it out.
-  void Index(const std::string& id, const KnownBackend& known);
-  void Unindex(const std::string& id, const KnownBackend& known);
+  void AddToIndexes(const std::string& id, const KnownBackend& known);
+  void RemoveFromIndexes(const std::string& id, const KnownBackend& known);
   /// Ids of known ones that a newcomer proves to have ended, appended to `ended`.
   void FindEnded(const catalog::Backend& newcomer, std::vector<std::string>* ended) const;
   /// Counts it in its service, or takes that back (`by` -1), as it stands now.
   void Count(const KnownBackend& known, int by);
   /// Sets whether it is silent.
-  void SetSilent(KnownBackend* known, bool silent);
+  void SetUnresponsive(KnownBackend* known, bool unresponsive);
 
   static bool IsBoundedByCold(const KnownBackend& backend, Time now) {
     return backend.bounded_by_cold && now < backend.cold_until;
@@ -145,7 +145,7 @@
   /// Whether some back end of the service may be given keys and bears any rate of requests.
   bool AnyWarmAccepts(const std::string& service, Time now) const;
   /// Most of a service's back ends are silent: more likely this node is cut off.
-  bool MostAreSilent(const std::string& service) const;
+  bool MostAreUnresponsive(const std::string& service) const;
 
   /// Back ends of one service that came to have a limit, or to have none any more.
   struct LimitChanges {
--- a/src/core/ownership/coordinator.cc
+++ b/src/core/ownership/coordinator.cc
@@ -47,7 +47,7 @@
   for (const std::string& ended : found.ended) {
     Believe(belief::kBackendEnded, absl::StrCat(ended, " by a newer one at its address"));
   }
-  if (directory_.RemembersMany()) {
+  if (directory_.NeedsPruning()) {
     ForgetUnneededBackends();
   }
   if (found.any) {
@@ -69,7 +69,7 @@
       needed.insert(release.backend);
     }
   }
-  directory_.ForgetUnneeded(needed);
+  directory_.PruneUnregistered(needed);
 }
 
 void Coordinator::Impl::OnHeartbeat(const LeaseView& view, Time now) {
@@ -163,7 +163,7 @@
 
 void Coordinator::Impl::OnOrderReply(CallId call, const OrderReply& reply, Time now) {
   const std::optional<Order> order = orders_.Take(call);
-  if (!order || (order->given_up && reply.status == OrderStatus::kNoAnswer)) {
+  if (!order || (order->timed_out && reply.status == OrderStatus::kNoAnswer)) {
     return;
   }
   if (reply.status != OrderStatus::kDone || order->kind == Order::Kind::kRelease ||
@@ -229,7 +229,7 @@
     FinishReleases(service, now);
     AskPartitioner(service, now);
     MergeFencesIfCalm(service, now);
-    service.table.MergeNeighbours();
+    service.table.MergeAdjacent();
   }
   SendOrders(now);
   PublishIfChanged();
@@ -267,7 +267,7 @@
 }
 
 Time Coordinator::Impl::HolderWake(Time now) const {
-  Time wake = std::min(chain_.NextGiveUp(), orders_.NextGiveUp());
+  Time wake = std::min(chain_.NextGiveUp(), orders_.NextTimeout());
   if (!chain_.InFlight()) {
     const bool at_once = !chain_.attempts().empty() || HasReadyChanges(now);
     const Time due =
@@ -287,7 +287,7 @@
   if (!trouble_noted_) {
     wake = std::min(wake, chain_.confirmed_sent() + 2 * settings_.lease_renewal);
   }
-  wake = std::min(wake, directory_.NextSilence());
+  wake = std::min(wake, directory_.NextUnresponsiveCheck());
   for (const auto& [name, service] : services_) {
     if (IsListed(name)) {
       wake = std::min(wake, ServiceWake(service, now));
--- a/src/core/ownership/coordinator_commits.cc
+++ b/src/core/ownership/coordinator_commits.cc
@@ -77,7 +77,7 @@
     OwnershipChange change{service.name, state->range, to_other ? state->next_owner : state->owner,
                            state->next_fence};
     change.range.last = service.rows.LastWithin(change.range, commit_limits_.RowsOfChange());
-    service.table.CutBehind(change.range.last);
+    service.table.CutAfter(change.range.last);
     changes->push_back(std::move(change));
   }
 }
--- a/src/core/ownership/coordinator_lease.cc
+++ b/src/core/ownership/coordinator_lease.cc
@@ -263,7 +263,7 @@
                                      Time now) {
   ServiceState& service = AddService(name);
   for (const auto& [owner, address] : stored.row.addresses) {
-    directory_.Remember(owner, name, address);
+    directory_.AddOwner(owner, name, address);
   }
   service.rows.Adopt(stored);
   service.committed = AssignmentTable(stored.row.assignments);
--- a/src/core/ownership/coordinator_orders.cc
+++ b/src/core/ownership/coordinator_orders.cc
@@ -209,7 +209,7 @@
 }
 
 void Coordinator::Impl::GiveUpOrders(Time now) {
-  for (const Order& order : orders_.GiveUp(now)) {
+  for (const Order& order : orders_.TakeTimedOut(now)) {
     OrderReply none;
     none.status = OrderStatus::kNoAnswer;
     if (order.kind == Order::Kind::kGrant) {
--- a/src/core/ownership/map_changes.cc
+++ b/src/core/ownership/map_changes.cc
@@ -24,7 +24,7 @@
 }
 
 /// Whether all that differs between `held` and the newer map is among the changes.
-bool LeadOnFrom(const MapVersion& held, const MapChanges& changes) {
+bool AppliesTo(const MapVersion& held, const MapChanges& changes) {
   if (held == changes.base) {
     return true;
   }
@@ -53,7 +53,7 @@
 }
 
 std::optional<OwnershipMap> ApplyChanges(const OwnershipMap& held, const MapChanges& changes) {
-  if (!LeadOnFrom(held.version, changes)) {
+  if (!AppliesTo(held.version, changes)) {
     return std::nullopt;
   }
   OwnershipMap map;
--- a/src/core/ownership/order_book.cc
+++ b/src/core/ownership/order_book.cc
@@ -9,12 +9,12 @@
 namespace {
 
 /// How long an order that was given up is remembered for a late answer.
-constexpr Duration kLateAnswer = absl::Seconds(5);
+constexpr Duration kLateAnswerRetention = absl::Seconds(5);
 
 }  // namespace
 
 void OrderBook::Add(Order order) {
-  waiting_.push_back({order.call, order.sent});
+  pending_.push_back({order.call, order.sent});
   open_[order.backend].push_back(order.call);
   const CallId call = order.call;
   orders_.insert_or_assign(call, std::move(order));
@@ -26,7 +26,7 @@
     return std::nullopt;
   }
   Close(found.mapped());
-  TrimWaiting();
+  TrimPending();
   return std::move(found.mapped());
 }
 
@@ -41,38 +41,38 @@
   }
 }
 
-void OrderBook::TrimWaiting() {
-  while (!waiting_.empty()) {
-    const auto order = orders_.find(waiting_.front().call);
-    if (order != orders_.end() && !order->second.given_up) {
+void OrderBook::TrimPending() {
+  while (!pending_.empty()) {
+    const auto order = orders_.find(pending_.front().call);
+    if (order != orders_.end() && !order->second.timed_out) {
       return;
     }
-    waiting_.pop_front();
+    pending_.pop_front();
   }
 }
 
-std::vector<Order> OrderBook::GiveUp(Time now) {
-  std::vector<Order> given_up;
-  while (!waiting_.empty() && now - waiting_.front().at >= order_timeout_) {
-    Order& order = orders_.at(waiting_.front().call);
-    order.given_up = true;
+std::vector<Order> OrderBook::TakeTimedOut(Time now) {
+  std::vector<Order> timed_out;
+  while (!pending_.empty() && now - pending_.front().at >= order_timeout_) {
+    Order& order = orders_.at(pending_.front().call);
+    order.timed_out = true;
     Close(order);
-    given_up.push_back(order);
-    given_up_.push_back(waiting_.front());
-    TrimWaiting();
+    timed_out.push_back(order);
+    timed_out_.push_back(pending_.front());
+    TrimPending();
   }
-  while (!given_up_.empty() && now - given_up_.front().at >= kLateAnswer) {
-    orders_.erase(given_up_.front().call);
-    given_up_.pop_front();
+  while (!timed_out_.empty() && now - timed_out_.front().at >= kLateAnswerRetention) {
+    orders_.erase(timed_out_.front().call);
+    timed_out_.pop_front();
   }
-  return given_up;
+  return timed_out;
 }
 
 void OrderBook::Clear() {
   orders_.clear();
   open_.clear();
-  waiting_.clear();
-  given_up_.clear();
+  pending_.clear();
+  timed_out_.clear();
 }
 
 size_t OrderBook::CountOpen(const std::string& backend) const {
@@ -102,8 +102,8 @@
   return latest;
 }
 
-Time OrderBook::NextGiveUp() const {
-  return waiting_.empty() ? absl::InfiniteFuture() : waiting_.front().at + order_timeout_;
+Time OrderBook::NextTimeout() const {
+  return pending_.empty() ? absl::InfiniteFuture() : pending_.front().at + order_timeout_;
 }
 
 }  // namespace ladderstream::ownership
--- a/src/core/ownership/order_book.h
+++ b/src/core/ownership/order_book.h
@@ -26,7 +26,7 @@
   Fence fence = 0;
   Time sent;
   /// No answer came in time. A late one still counts.
-  bool given_up = false;
+  bool timed_out = false;
 };
 
 class OrderBook {
@@ -38,7 +38,7 @@
   /// Takes the order out; empty when it is not known (any more).
   std::optional<Order> Take(CallId call);
   /// Gives the orders that have now waited for too long.
-  std::vector<Order> GiveUp(Time now);
+  std::vector<Order> TakeTimedOut(Time now);
   void Clear();
 
   /// How many orders a back end has not answered yet, those given up left out.
@@ -47,8 +47,8 @@
   bool HasOpen(const std::string& backend, const KeyRange& range) const;
   /// When the newest open grant of any key of `range` was sent; InfinitePast without one.
   Time LatestOpenGrant(const std::string& backend, const KeyRange& range) const;
-  /// When GiveUp() has something to give.
-  Time NextGiveUp() const;
+  /// When TakeTimedOut() has something to give.
+  Time NextTimeout() const;
 
  private:
   struct Sent {
@@ -58,15 +58,15 @@
 
   void Close(const Order& order);
   /// Removes those at the front that wait for nothing.
-  void TrimWaiting();
+  void TrimPending();
 
   const Duration order_timeout_;
   std::unordered_map<CallId, Order> orders_;
   /// The open orders of each back end that has any.
   std::unordered_map<std::string, std::vector<CallId>> open_;
-  /// By the time they were sent. The first one of `waiting_` is open, or there is none.
-  std::deque<Sent> waiting_;
-  std::deque<Sent> given_up_;
+  /// By the time they were sent. The first one of `pending_` is open, or there is none.
+  std::deque<Sent> pending_;
+  std::deque<Sent> timed_out_;
 };
 
 }  // namespace ladderstream::ownership
--- a/src/core/ownership/ownership_rows.cc
+++ b/src/core/ownership/ownership_rows.cc
@@ -21,7 +21,7 @@
 constexpr uint32_t kNoOwner = 0;
 
 /// The most that a segment takes besides its owners and ranges.
-constexpr size_t kSegmentFrameBytes = 24;
+constexpr size_t kSegmentOverheadBytes = 24;
 
 struct EncodedOwner {
   std::string id;
@@ -66,18 +66,18 @@
 
 EncodedService ToEncoded(const ServiceRow& row) {
   EncodedService encoded;
-  std::map<std::string, uint32_t> places;
+  std::map<std::string, uint32_t> indexes;
   for (const Assignment& assignment : row.assignments) {
     uint32_t owner = kNoOwner;
     if (!assignment.owner.empty()) {
       const auto next = static_cast<uint32_t>(encoded.owners.size()) + 1;
-      const auto [place, is_new] = places.emplace(assignment.owner, next);
+      const auto [index, is_new] = indexes.emplace(assignment.owner, next);
       if (is_new) {
         const auto address = row.addresses.find(assignment.owner);
         encoded.owners.push_back(
             {assignment.owner, address == row.addresses.end() ? Endpoint{} : address->second});
       }
-      owner = place->second;
+      owner = index->second;
     }
     encoded.ranges.push_back({assignment.range.first, owner, assignment.fence});
   }
@@ -242,7 +242,7 @@
   return FromEncoded(segment.service, {first, segment.last});
 }
 
-std::vector<ServiceRow> CutRow(const ServiceRow& row, size_t most_bytes) {
+std::vector<ServiceRow> SplitRow(const ServiceRow& row, size_t max_bytes) {
   std::vector<ServiceRow> parts;
   size_t bytes = 0;
   for (const Assignment& assignment : row.assignments) {
@@ -253,9 +253,9 @@
     };
     const size_t range_bytes =
         EncodedBytes(EncodedRange{assignment.range.first, kLastKey, assignment.fence});
-    if (parts.empty() || bytes + range_bytes + owner_bytes(parts.back()) > most_bytes) {
+    if (parts.empty() || bytes + range_bytes + owner_bytes(parts.back()) > max_bytes) {
       parts.emplace_back();
-      bytes = kSegmentFrameBytes;
+      bytes = kSegmentOverheadBytes;
     }
     bytes += range_bytes + owner_bytes(parts.back());
     parts.back().assignments.push_back(assignment);
--- a/src/core/ownership/ownership_rows.h
+++ b/src/core/ownership/ownership_rows.h
@@ -80,9 +80,9 @@
 /// on.
 ServiceRow DecodeSegment(std::string_view value, Key first);
 
-/// Cuts `row` into parts of adjoining keys that take at most `most_bytes` each as a segment; a part
+/// Cuts `row` into parts of adjoining keys that take at most `max_bytes` each as a segment; a part
 /// with a single assignment may take more.
-std::vector<ServiceRow> CutRow(const ServiceRow& row, size_t most_bytes);
+std::vector<ServiceRow> SplitRow(const ServiceRow& row, size_t max_bytes);
 
 /// One service as read from all rows of the table.
 struct StoredService {
--- a/src/core/ownership/range_table.cc
+++ b/src/core/ownership/range_table.cc
@@ -65,7 +65,7 @@
 
 RangeTable::Indexed RangeTable::IndexedOf(const RangeState& state) {
   const bool ordered = state.phase == RangePhase::kOwned || state.phase == RangePhase::kReleasing;
-  return {!state.Calm(), !state.confirmed, ordered ? state.order_due : absl::InfiniteFuture()};
+  return {!state.Settled(), !state.confirmed, ordered ? state.order_due : absl::InfiniteFuture()};
 }
 
 void RangeTable::Replace(Key first, const Indexed* entry) const {
@@ -161,7 +161,7 @@
   }
 }
 
-void RangeTable::CutBehind(Key last) {
+void RangeTable::CutAfter(Key last) {
   if (Find(last)->second.range.last != last) {
     CutAt(last + 1);
   }
@@ -183,7 +183,7 @@
   return true;
 }
 
-void RangeTable::MergeNeighbours() {
+void RangeTable::MergeAdjacent() {
   for (const Key first : std::exchange(unmerged_, {})) {
     auto entry = ranges_.find(first);
     if (entry == ranges_.end()) {
--- a/src/core/ownership/range_table.h
+++ b/src/core/ownership/range_table.h
@@ -60,7 +60,7 @@
   std::string next_owner;
 
   /// Nothing is under way with it.
-  bool Calm() const { return phase == RangePhase::kOwned && !moving && next_fence == 0; }
+  bool Settled() const { return phase == RangePhase::kOwned && !moving && next_fence == 0; }
 };
 
 /// Ranges by key, with indexes over those that something is under way with and over the times at
@@ -102,9 +102,9 @@
   void SplitAt(Key first);
   /// Cuts the range that holds `last`, so that one ends there, whatever its phase. Both parts go on
   /// as the whole did.
-  void CutBehind(Key last);
+  void CutAfter(Key last);
   /// Joins neighbours that agree in everything that matters.
-  void MergeNeighbours();
+  void MergeAdjacent();
   /// Owners and fences as routing sees them.
   ServiceOwnership Ownership() const;
 
--- a/src/core/ownership/service_rows.cc
+++ b/src/core/ownership/service_rows.cc
@@ -41,18 +41,18 @@
   firsts_ = has_segments_ ? DecodeSegmentList(head->second) : std::vector<Key>{0};
 }
 
-size_t ServiceRows::PlaceOf(Key key) const {
-  const auto behind = std::upper_bound(firsts_.begin(), firsts_.end(), key);
-  return static_cast<size_t>(behind - firsts_.begin()) - 1;
+size_t ServiceRows::IndexOf(Key key) const {
+  const auto after = std::upper_bound(firsts_.begin(), firsts_.end(), key);
+  return static_cast<size_t>(after - firsts_.begin()) - 1;
 }
 
-KeyRange ServiceRows::RangeOf(size_t place) const {
-  return {firsts_[place], place + 1 < firsts_.size() ? firsts_[place + 1] - 1 : kLastKey};
+KeyRange ServiceRows::RangeOf(size_t index) const {
+  return {firsts_[index], index + 1 < firsts_.size() ? firsts_[index + 1] - 1 : kLastKey};
 }
 
-Key ServiceRows::LastWithin(const KeyRange& range, size_t most) const {
-  const size_t last_place = PlaceOf(range.first) + most - 1;
-  return last_place < firsts_.size() ? std::min(range.last, RangeOf(last_place).last) : range.last;
+Key ServiceRows::LastWithin(const KeyRange& range, size_t max_rows) const {
+  const size_t last_index = IndexOf(range.first) + max_rows - 1;
+  return last_index < firsts_.size() ? std::min(range.last, RangeOf(last_index).last) : range.last;
 }
 
 void ServiceRows::Encode(const Assignments& changes, const AssignmentTable& committed,
@@ -60,21 +60,21 @@
                          std::map<std::string, std::string>* rows) const {
   std::map<size_t, AssignmentTable> touched;
   for (const Assignment& change : changes) {
-    for (size_t place = PlaceOf(change.range.first); place <= PlaceOf(change.range.last); ++place) {
-      const KeyRange range = RangeOf(place);
-      auto table = touched.find(place);
+    for (size_t index = IndexOf(change.range.first); index <= IndexOf(change.range.last); ++index) {
+      const KeyRange range = RangeOf(index);
+      auto table = touched.find(index);
       if (table == touched.end()) {
-        table = touched.emplace(place, committed.Slice(range)).first;
+        table = touched.emplace(index, committed.Slice(range)).first;
       }
       table->second.Assign(Clip(change.range, range), change.owner, change.fence);
     }
   }
   std::vector<Key> new_firsts;
-  for (const auto& [place, table] : touched) {
-    const ServiceRow row = WithAddresses(table.Slice(RangeOf(place)), address_of);
-    std::vector<ServiceRow> parts = CutRow(row, row_bytes);
+  for (const auto& [index, table] : touched) {
+    const ServiceRow row = WithAddresses(table.Slice(RangeOf(index)), address_of);
+    std::vector<ServiceRow> parts = SplitRow(row, row_bytes);
     if (parts.size() > 1) {
-      parts = CutRow(row, static_cast<size_t>(static_cast<double>(row_bytes) * kPartShare));
+      parts = SplitRow(row, static_cast<size_t>(static_cast<double>(row_bytes) * kPartShare));
     }
     if (parts.size() == 1 && !has_segments_) {
       (*rows)[ServiceRowKey(service_)] = EncodeServiceRow(row);
--- a/src/core/ownership/service_rows.h
+++ b/src/core/ownership/service_rows.h
@@ -29,7 +29,7 @@
   void OnWritten(const std::map<std::string, std::string>& rows);
 
   /// The last key of `range` up to which no more than `most` rows hold its keys.
-  Key LastWithin(const KeyRange& range, size_t most) const;
+  Key LastWithin(const KeyRange& range, size_t max_rows) const;
 
   /// Adds to `rows`, by key, what is to be written so that `changes`, which do not overlap, take
   /// effect. `committed` is the assignment before them.
@@ -38,8 +38,8 @@
               std::map<std::string, std::string>* rows) const;
 
  private:
-  size_t PlaceOf(Key key) const;
-  KeyRange RangeOf(size_t place) const;
+  size_t IndexOf(Key key) const;
+  KeyRange RangeOf(size_t index) const;
   void EncodeParts(const std::vector<ServiceRow>& parts, std::map<std::string, std::string>* rows,
                    std::vector<Key>* new_firsts) const;
 
--- a/tests/unit/ownership/model_backend.cc
+++ b/tests/unit/ownership/model_backend.cc
@@ -38,7 +38,7 @@
 
 void ModelBackend::Release(const KeyRange& range, Fence fence, Time now) {
   held.Update(range, [&](HeldKeys& keys_held) {
-    if (keys_held.fence <= fence || obeys_old_releases) {
+    if (keys_held.fence <= fence || accepts_old_releases) {
       keys_held.until = std::min(keys_held.until, now);
       keys_held.timely_until = std::min(keys_held.timely_until, now);
     }
--- a/tests/unit/ownership/model_backend.h
+++ b/tests/unit/ownership/model_backend.h
@@ -39,7 +39,7 @@
   /// Takes orders late and leaves them unanswered, until then.
   Time late_until = absl::InfinitePast();
   /// Takes orders at once and leaves them unanswered, until then.
-  Time mute_until = absl::InfinitePast();
+  Time answers_lost_until = absl::InfinitePast();
   /// No order reaches it, until then; from all nodes, and from single ones by their index.
   Time cut_until = absl::InfinitePast();
   std::map<size_t, Time> cut_from_until;
@@ -51,7 +51,7 @@
   /// Work that runs when keys are released.
   Duration work;
   /// A release under a lower fence than that of the grant still ends the grant.
-  bool obeys_old_releases = false;
+  bool accepts_old_releases = false;
   /// A renewal with a shorter hold does not shorten the one before it.
   bool keeps_longest_hold = false;
 
--- a/tests/unit/ownership/model_faults.cc
+++ b/tests/unit/ownership/model_faults.cc
@@ -9,13 +9,13 @@
 namespace {
 
 /// A registration lapses this long after its back end's last write.
-constexpr Duration kLapse = absl::Seconds(4);
+constexpr Duration kExpiry = absl::Seconds(4);
 /// A draining back end serves for this long.
-constexpr Duration kDrain = absl::Milliseconds(2500);
+constexpr Duration kDrainTime = absl::Milliseconds(2500);
 /// Long enough for a successor to take over and to wait the back end out.
 constexpr Duration kIsolation = absl::Seconds(13);
 constexpr Duration kLastGrants = absl::Milliseconds(1500);
-constexpr size_t kFewestBackends = 2;
+constexpr size_t kMinBackends = 2;
 constexpr const char* kZones[] = {"east", "west"};
 /// A back end is cold for so long from a start, but for those that start with the world.
 constexpr Duration kCold = absl::Seconds(3);
@@ -31,11 +31,11 @@
   backend->work = DrawMs(0, 120);
   backend->zone = kZones[last_backend_ % std::size(kZones)];
   backend->cold_until = now_ < kWarmStart ? now_ : now_ + kCold;
-  backend->obeys_old_releases = Chance(50);
+  backend->accepts_old_releases = Chance(50);
   backend->keeps_longest_hold = Chance(50);
   Trace(absl::StrCat("back end ", backend->id, " starts at port ", port));
   backends_.push_back(std::move(backend));
-  TellCatalogToAll();
+  PublishCatalogToAll();
 }
 
 void ModelWorld::EndBackend(const std::string& id, bool orderly) {
@@ -47,20 +47,20 @@
   backend->up = false;
   const auto unlist = [this, backend] {
     backend->listed = false;
-    TellCatalogToAll();
+    PublishCatalogToAll();
   };
   if (orderly) {
     unlist();
   } else {
-    After(kLapse, unlist);
+    After(kExpiry, unlist);
   }
   // A successor at the same or at another address; sometimes none.
-  const bool must = CountUp(backend->service) < kFewestBackends;
+  const bool must = CountUp(backend->service) < kMinBackends;
   if (must || Chance(80)) {
     const bool same = Chance(60);
     const uint16_t port = same ? backend->address.port : TakePort();
     if (!same) {
-      left_ports_.push_back(backend->address.port);
+      freed_ports_.push_back(backend->address.port);
     }
     After(DrawMs(100, 3000), [this, port, service = backend->service] {
       if (BackendAt({"backend", port}) == nullptr) {
@@ -71,12 +71,12 @@
 }
 
 uint16_t ModelWorld::TakePort() {
-  if (left_ports_.empty() || Chance(40)) {
+  if (freed_ports_.empty() || Chance(40)) {
     return ++last_port_;
   }
-  const size_t index = Draw(left_ports_.size());
-  const uint16_t port = left_ports_[index];
-  left_ports_.erase(left_ports_.begin() + static_cast<ptrdiff_t>(index));
+  const size_t index = Draw(freed_ports_.size());
+  const uint16_t port = freed_ports_[index];
+  freed_ports_.erase(freed_ports_.begin() + static_cast<ptrdiff_t>(index));
   return port;
 }
 
@@ -112,7 +112,7 @@
       BackendFault();
       break;
     case 5:
-      FalseAlarm();
+      ReportFalseEnd();
       break;
     case 6:
       EvacuateZone();
@@ -123,7 +123,7 @@
   After(DrawMs(0, 3000), [this] { FaultLoop(); });
 }
 
-void ModelWorld::FalseAlarm() {
+void ModelWorld::ReportFalseEnd() {
   for (const ModelNode& holder : nodes_) {
     if (!holder.coordinator || !holder.coordinator->Holds(now_)) {
       continue;
@@ -143,7 +143,7 @@
   Trace(absl::StrCat("zone ", zone, " is evacuated until ",
                      absl::ToInt64Milliseconds(until - absl::UnixEpoch())));
   evacuated_.insert(zone);
-  TellCatalogToAll();
+  PublishCatalogToAll();
   At(until, [this, zone] {
     evacuated_.erase(zone);
     for (const auto& backend : backends_) {
@@ -151,7 +151,7 @@
         backend->cold_until = now_ + kCold;
       }
     }
-    TellCatalogToAll();
+    PublishCatalogToAll();
   });
 }
 
@@ -195,7 +195,7 @@
       break;
     default:
       node.frozen_until = until;
-      At(until, [this, index] { Thaw(index); });
+      At(until, [this, index] { Resume(index); });
   }
 }
 
@@ -228,21 +228,21 @@
       EndBackend(id, false);
       break;
     case 1:
-      if (CountUp(backend->service) > kFewestBackends) {
+      if (CountUp(backend->service) > kMinBackends) {
         backend->draining = true;
-        TellCatalogToAll();
-        After(kDrain, [this, id] { EndBackend(id, true); });
+        PublishCatalogToAll();
+        After(kDrainTime, [this, id] { EndBackend(id, true); });
       }
       break;
     case 2:
       // Cut off from the platform only: its registration lapses, and it serves on.
-      if (CountUp(backend->service) > kFewestBackends) {
+      if (CountUp(backend->service) > kMinBackends) {
         backend->listed = false;
-        TellCatalogToAll();
+        PublishCatalogToAll();
         At(until, [this, id] {
           if (ModelBackend* returned = BackendWithId(id)) {
             returned->listed = true;
-            TellCatalogToAll();
+            PublishCatalogToAll();
           }
         });
       }
@@ -254,7 +254,7 @@
       backend->cut_until = until;
       break;
     case 5:
-      backend->mute_until = until;
+      backend->answers_lost_until = until;
       break;
     case 6:
       // Its last grants arrive when another owns its keys, while some node has an old map.
--- a/tests/unit/ownership/model_invariants.cc
+++ b/tests/unit/ownership/model_invariants.cc
@@ -89,23 +89,23 @@
     const Time both_since = std::max(backend.held.At(key).since, other->held.At(key).since);
     const auto last_start = other->last_start.find(key);
     if (last_start != other->last_start.end() && last_start->second >= both_since) {
-      Violate(absl::StrCat("requests for key ", key, " start at ", backend.id, " and ", other->id,
-                           " while both hold it"));
+      ReportViolation(absl::StrCat("requests for key ", key, " start at ", backend.id, " and ",
+                                   other->id, " while both hold it"));
     }
   }
 }
 
 void ModelWorld::CheckGrant(const ModelNode& node, const GrantAction& grant, Time decided) {
   if (!node.coordinator->Holds(decided)) {
-    Violate(absl::StrCat("node ", node.index, " grants without holding the lease"));
+    ReportViolation(absl::StrCat("node ", node.index, " grants without holding the lease"));
   }
   for (const std::string& service : services_) {
     if (committed_.contains({service, grant.fence, grant.backend})) {
       return;
     }
   }
-  Violate(absl::StrCat("node ", node.index, " grants ", Describe(grant.range), " to ",
-                       grant.backend, " under fence ", grant.fence, ", never committed"));
+  ReportViolation(absl::StrCat("node ", node.index, " grants ", Describe(grant.range), " to ",
+                               grant.backend, " under fence ", grant.fence, ", never committed"));
 }
 
 void ModelWorld::CheckHolds(const ModelBackend& backend, const KeyRange& range) {
@@ -115,9 +115,9 @@
     }
     other->held.ForEach(range, [&](const KeyRange& keys, const HeldKeys& held) {
       if (now_ < held.timely_until) {
-        Violate(absl::StrCat(backend.id, " takes ", Describe(keys), " while ", other->id,
-                             " holds it for another ",
-                             absl::FormatDuration(held.timely_until - now_)));
+        ReportViolation(absl::StrCat(backend.id, " takes ", Describe(keys), " while ", other->id,
+                                     " holds it for another ",
+                                     absl::FormatDuration(held.timely_until - now_)));
       }
     });
   }
@@ -140,8 +140,8 @@
   highest_[backend.service].Update(range, [&](HighestFence& highest) {
     const Fence others = highest.owner == backend.id ? highest.others : highest.fence;
     if (fence <= others) {
-      Violate(absl::StrCat(backend.id, " takes ", Describe(range), " under fence ", fence,
-                           " after another held it under ", others));
+      ReportViolation(absl::StrCat(backend.id, " takes ", Describe(range), " under fence ", fence,
+                                   " after another held it under ", others));
     }
     if (highest.owner != backend.id) {
       highest.others = std::max(highest.others, highest.fence);
@@ -170,9 +170,9 @@
       before.Update(assignment.range, [&](std::pair<Fence, std::string>& key) {
         const bool same = key.first == assignment.fence && key.second == assignment.owner;
         if (!same && (assignment.fence <= key.first || assignment.owner.empty())) {
-          Violate(absl::StrCat("keys ", Describe(assignment.range), " of ", key.second, " fence ",
-                               key.first, " are committed to ", assignment.owner, " fence ",
-                               assignment.fence));
+          ReportViolation(absl::StrCat("keys ", Describe(assignment.range), " of ", key.second,
+                                       " fence ", key.first, " are committed to ", assignment.owner,
+                                       " fence ", assignment.fence));
         }
         key = {assignment.fence, assignment.owner};
       });
@@ -180,7 +180,7 @@
   }
 }
 
-void ModelWorld::SeeServed() {
+void ModelWorld::RecordServedKeys() {
   for (const ModelNode& node : nodes_) {
     if (!node.coordinator || now_ >= node.map_until || !node.map) {
       continue;
@@ -199,7 +199,7 @@
       for (const KeyRange& moving : ownership.moving) {
         served.Update(moving, [](bool& is_served) { is_served = false; });
       }
-      KeyMap<bool>& seen = seen_served_[{node.index, service}];
+      KeyMap<bool>& seen = observed_served_[{node.index, service}];
       served.ForEach({0, kLastKey}, [&seen](const KeyRange& keys, bool is_served) {
         if (is_served) {
           seen.Update(keys, [](bool& is_seen) { is_seen = true; });
@@ -209,17 +209,17 @@
   }
 }
 
-std::string ModelWorld::CheckRest() {
+std::string ModelWorld::CheckSettled() {
   for (const ModelNode& node : nodes_) {
     if (!node.coordinator || now_ >= node.map_until || !node.map) {
       return absl::StrCat("at rest, node ", node.index, " has no confirmed map");
     }
     for (const std::string& service : services_) {
       std::string unserved;
-      seen_served_[{node.index, service}].ForEach({0, kLastKey},
-                                                  [&unserved](const KeyRange& keys, bool is_seen) {
-                                                    unserved = is_seen ? unserved : Describe(keys);
-                                                  });
+      observed_served_[{node.index, service}].ForEach(
+          {0, kLastKey}, [&unserved](const KeyRange& keys, bool is_seen) {
+            unserved = is_seen ? unserved : Describe(keys);
+          });
       if (!unserved.empty()) {
         return absl::StrCat("at rest, node ", node.index, " never saw ", unserved, " of ", service,
                             " served");
--- a/tests/unit/ownership/model_main.cc
+++ b/tests/unit/ownership/model_main.cc
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr uint64_t kSeeds = 400;
-constexpr uint64_t kMostFailuresShown = 3;
+constexpr uint64_t kMaxFailuresShown = 3;
 constexpr ladderstream::ownership::CommitLimits kShortRows{
     .row_bytes = 80, .rows = 5, .changes = 3};
 
@@ -41,7 +41,7 @@
       continue;
     }
     ++failures;
-    if (failures <= kMostFailuresShown) {
+    if (failures <= kMaxFailuresShown) {
       std::cout << world.TraceTail() << "\nseed " << seed << ": " << violation << "\n\n";
     }
   }
--- a/tests/unit/ownership/model_nodes.cc
+++ b/tests/unit/ownership/model_nodes.cc
@@ -38,7 +38,7 @@
   node.coordinator = std::make_unique<Coordinator>(settings_, self);
   node.registered = {};
   Trace(absl::StrCat("node ", index, " starts"));
-  ToNode(index, node.incarnation, [this, index] { TellCatalog(nodes_[index]); });
+  ToNode(index, node.incarnation, [this, index] { PublishCatalog(nodes_[index]); });
 }
 
 void ModelWorld::KillNode(size_t index) {
@@ -93,7 +93,7 @@
   Drain(node);
 }
 
-void ModelWorld::Thaw(size_t index) {
+void ModelWorld::Resume(size_t index) {
   ModelNode& node = nodes_[index];
   if (!node.coordinator || now_ < node.frozen_until) {
     return;
@@ -155,7 +155,7 @@
   node.frozen_until = std::max(node.frozen_until, std::min(faults_end_, now_ + DrawMs(20, 7000)));
   Trace(absl::StrCat("node ", node.index, " pauses with ", node.unsent.size(), " to do until ",
                      absl::ToInt64Milliseconds(node.frozen_until - absl::UnixEpoch())));
-  At(node.frozen_until, [this, index = node.index] { Thaw(index); });
+  At(node.frozen_until, [this, index = node.index] { Resume(index); });
 }
 
 void ModelWorld::Perform(ModelNode& node, const Action& action, Time decided) {
@@ -303,7 +303,7 @@
     return;
   }
   const bool taken_late = now_ < target->late_until && Chance(70);
-  const bool answer_lost = taken_late || now_ < target->mute_until || Chance(1);
+  const bool answer_lost = taken_late || now_ < target->answers_lost_until || Chance(1);
   const Time arrival =
       std::max(now_ + (taken_late ? DrawMs(400, 12000) : DrawMs(1, 6)), target->frozen_until);
   At(arrival, [=, this] {
@@ -356,11 +356,11 @@
       Broadcast(node);
     }
   }
-  TellLoad();
+  PublishLoad();
   After(kHeartbeatInterval, [this] { HeartbeatLoop(); });
 }
 
-void ModelWorld::TellLoad() {
+void ModelWorld::PublishLoad() {
   for (const auto& entry : load_) {
     for (const ModelNode& node : nodes_) {
       ToNode(node.index, node.incarnation, [this, index = node.index, entry] {
@@ -371,7 +371,7 @@
   load_.clear();
 }
 
-void ModelWorld::TellCatalog(ModelNode& node) {
+void ModelWorld::PublishCatalog(ModelNode& node) {
   std::vector<catalog::Service> services;
   for (const std::string& name : services_) {
     catalog::Service service;
@@ -397,10 +397,10 @@
   node.coordinator->OnCatalog(services, node.registered.Replace(backends), now_);
 }
 
-void ModelWorld::TellCatalogToAll() {
+void ModelWorld::PublishCatalogToAll() {
   for (size_t i = 0; i < nodes_.size(); ++i) {
     After(DrawMs(5, 400), [this, i, to = nodes_[i].incarnation] {
-      ToNode(i, to, [this, i] { TellCatalog(nodes_[i]); });
+      ToNode(i, to, [this, i] { PublishCatalog(nodes_[i]); });
     });
   }
 }
--- a/tests/unit/ownership/model_world.cc
+++ b/tests/unit/ownership/model_world.cc
@@ -10,11 +10,11 @@
 namespace ladderstream::ownership {
 namespace {
 
-constexpr Duration kFaultsFor = absl::Seconds(25);
+constexpr Duration kFaultDuration = absl::Seconds(25);
 constexpr Duration kRecovery = absl::Seconds(15);
 /// Balance goes on moving keys: in so long before the end, each must be seen held and served.
-constexpr Duration kRestWindow = absl::Seconds(1);
-constexpr Duration kRestInterval = absl::Milliseconds(100);
+constexpr Duration kSettledWindow = absl::Seconds(1);
+constexpr Duration kSettledCheckInterval = absl::Milliseconds(100);
 constexpr size_t kTraceLines = 120;
 constexpr size_t kRequestKeys = 10;
 constexpr uint32_t kRandomMovesPercent = 25;
@@ -25,7 +25,7 @@
     : random_(seed), now_(absl::UnixEpoch()) {
   settings_.commit_limits = commit_limits;
   partition::Script() = {{}, kRandomMovesPercent, seed};
-  faults_end_ = now_ + kFaultsFor;
+  faults_end_ = now_ + kFaultDuration;
   services_.emplace_back("boards");
   if (Chance(40)) {
     services_.emplace_back("cards");
@@ -72,13 +72,13 @@
 
 std::string ModelWorld::Run() {
   const Time end = faults_end_ + kRecovery;
-  RunUntil(end - kRestWindow);
-  SeeServed();
+  RunUntil(end - kSettledWindow);
+  RecordServedKeys();
   while (violation_.empty() && now_ < end) {
-    RunUntil(now_ + kRestInterval);
-    SeeServed();
+    RunUntil(now_ + kSettledCheckInterval);
+    RecordServedKeys();
   }
-  return violation_.empty() ? CheckRest() : violation_;
+  return violation_.empty() ? CheckSettled() : violation_;
 }
 
 void ModelWorld::RunUntil(Time end) {
@@ -106,7 +106,7 @@
   }
 }
 
-void ModelWorld::Violate(const std::string& what) {
+void ModelWorld::ReportViolation(const std::string& what) {
   if (violation_.empty()) {
     violation_ = what;
   }
--- a/tests/unit/ownership/model_world.h
+++ b/tests/unit/ownership/model_world.h
@@ -89,7 +89,7 @@
   void After(Duration delay, Event event) { At(now_ + delay, std::move(event)); }
   void RunUntil(Time end);
   void Trace(const std::string& line);
-  void Violate(const std::string& what);
+  void ReportViolation(const std::string& what);
 
   // Nodes (model_nodes.cc).
   void StartNode(size_t index);
@@ -97,7 +97,7 @@
   void StopNode(size_t index);
   /// Runs `event` at the node, once it is not frozen, if it still is in this incarnation.
   void ToNode(size_t index, uint64_t incarnation, Event event);
-  void Thaw(size_t index);
+  void Resume(size_t index);
   void Drain(ModelNode& node);
   /// Performs what was decided at `decided`, unless the process pauses on the way.
   void PerformAll(ModelNode& node, std::vector<Action> actions, Time decided);
@@ -110,11 +110,11 @@
   void ReplyOrder(size_t index, uint64_t incarnation, CallId call, const OrderReply& reply,
                   Duration delay);
   void Broadcast(ModelNode& node);
-  void TellCatalog(ModelNode& node);
-  void TellCatalogToAll();
+  void PublishCatalog(ModelNode& node);
+  void PublishCatalogToAll();
   void HeartbeatLoop();
   /// Tells every node what was asked for since the last time.
-  void TellLoad();
+  void PublishLoad();
 
   // Requests and invariants (model_invariants.cc).
   void RequestLoop();
@@ -126,8 +126,8 @@
   void CheckFences(const ModelBackend& backend, const KeyRange& range, Fence fence);
   void CheckCommits(const store::Transaction& transaction);
   /// Notes which keys each node finds held by their owner, and not moving.
-  void SeeServed();
-  std::string CheckRest();
+  void RecordServedKeys();
+  std::string CheckSettled();
   ModelBackend* BackendAt(const Endpoint& address);
   ModelBackend* BackendWithId(const std::string& id);
 
@@ -143,7 +143,7 @@
   /// The operator empties a zone, and takes that back when its back ends are cold.
   void EvacuateZone();
   /// A node is told that the holder has ended, which is not so.
-  void FalseAlarm();
+  void ReportFalseEnd();
   std::string RandomBackend();
   /// A port for a new back end; perhaps one that another, even of another service, has left.
   uint16_t TakePort();
@@ -171,10 +171,10 @@
   std::set<std::string> evacuated_;
   uint64_t last_backend_ = 0;
   uint16_t last_port_ = 0;
-  std::vector<uint16_t> left_ports_;
+  std::vector<uint16_t> freed_ports_;
   std::vector<Key> keys_;
   std::map<std::string, std::vector<partition::KeyCount>> load_;
-  std::map<std::pair<size_t, std::string>, KeyMap<bool>> seen_served_;
+  std::map<std::pair<size_t, std::string>, KeyMap<bool>> observed_served_;
   Time faults_end_;
 
   struct HighestFence {
--- a/tests/unit/ownership/ownership_test.cc
+++ b/tests/unit/ownership/ownership_test.cc
@@ -65,10 +65,11 @@
   Harness& node = holding.node;
   node.silent.insert("a");
   node.Register({"b"}, {{"other", {"a", 1}}});
-  const Time told = node.now;
+  const Time registered_at = node.now;
   node.Run(absl::Milliseconds(100));
   BOOST_TEST(node.OwnerOf(0) == "b");
-  BOOST_TEST((node.GrantsSince(told).front().at <= told + absl::Milliseconds(100)));
+  BOOST_TEST(
+      (node.GrantsSince(registered_at).front().at <= registered_at + absl::Milliseconds(100)));
 }
 
 BOOST_AUTO_TEST_CASE(ALateRowOfAnEarlierBackEndProvesNothing) {
--- a/tests/unit/ownership/range_table_test.cc
+++ b/tests/unit/ownership/range_table_test.cc
@@ -1,6 +1,6 @@
 // A coordinator of 4,272 owners on half a core was busy all of the time and lost its lease twice in
 // six seconds, its longest turn 763 ms: each answer of a back end and each step walked all ranges
-// a dozen times (a profile named OnGrantDone, ServiceWake, MergeNeighbours and HasReadyChanges).
+// a dozen times (a profile named OnGrantDone, ServiceWake, MergeAdjacent and HasReadyChanges).
 #include "core/ownership/range_table.h"
 
 #include <boost/test/unit_test.hpp>
@@ -28,7 +28,7 @@
       state->confirmed = true;
       state->order_due = kStart + absl::Milliseconds(state->range.first);
     }
-    table.MergeNeighbours();
+    table.MergeAdjacent();
     table.Busy();
   }
   /// Gives how many ranges were indexed anew.
@@ -47,7 +47,7 @@
 
 BOOST_AUTO_TEST_CASE(AStepWithoutWorkLooksAtNoRange) {
   BOOST_TEST(Count([&] {
-               table.MergeNeighbours();
+               table.MergeAdjacent();
                BOOST_TEST(table.Busy().empty());
                BOOST_TEST(table.Unconfirmed().empty());
                BOOST_TEST(table.Due(kStart - absl::Seconds(1)).empty());
@@ -59,7 +59,7 @@
                for (RangeState* state : table.Overlapping({160, 175})) {
                  state->last_grant = kStart + absl::Seconds(1);
                }
-               table.MergeNeighbours();
+               table.MergeAdjacent();
              }) <= 3U);
 }
 
@@ -92,10 +92,10 @@
   BOOST_TEST(table.size() == kRanges + 1);
   BOOST_TEST(table.At(7).range.last == 7U);
   table.At(8).moving = true;
-  table.MergeNeighbours();
+  table.MergeAdjacent();
   BOOST_TEST(table.size() == kRanges + 1);
   table.At(8).moving = false;
-  table.MergeNeighbours();
+  table.MergeAdjacent();
   BOOST_TEST(table.size() == kRanges);
   BOOST_TEST(table.Busy().empty());
   BOOST_TEST(table.Due(kStart).size() == 1U);
@@ -107,10 +107,10 @@
   table.At(0).next_fence = 7;
   table.SplitAt(8);
   BOOST_TEST(table.size() == kRanges);
-  table.CutBehind(7);
+  table.CutAfter(7);
   BOOST_TEST(table.size() == kRanges + 1);
   BOOST_TEST(table.At(8).next_fence == 7U);
-  table.CutBehind(7);
+  table.CutAfter(7);
   BOOST_TEST(table.size() == kRanges + 1);
 }
 
