--- a/src/core/ownership/assignment_table.h
+++ b/src/core/ownership/assignment_table.h
@@ -1,5 +1,5 @@
-// The committed assignment of one service, changed range by range at a cost that does not grow with
-// the number of ranges.
+// The committed assignment of one service. The cost of a change does not depend on the number of
+// ranges.
 #pragma once
 
 #include <map>
@@ -11,15 +11,15 @@
 
 class AssignmentTable {
  public:
-  /// Nobody owns any key.
+  /// Creates a table in which no key has an owner.
   AssignmentTable();
-  /// `assignments` adjoin each other; what is asked and assigned lies among their keys.
+  /// `assignments` must be contiguous. Assign() and Slice() accept only keys within them.
   explicit AssignmentTable(const Assignments& assignments);
 
-  /// Gives `range` to `owner` under `fence`, cutting what it overlaps; neighbours that agree in
-  /// owner and fence become one.
+  /// Assigns `range` to `owner` under `fence`, splitting ranges that overlap it. Adjacent ranges
+  /// with equal owner and fence are merged.
   void Assign(const KeyRange& range, const std::string& owner, Fence fence);
-  /// What holds in `range`, cut at its ends.
+  /// Returns the assignments of `range`, clipped to it.
   Assignments Slice(const KeyRange& range) const;
 
  private:
@@ -31,9 +31,10 @@
   using Entries = std::map<Key, Entry>;
 
   Entries::const_iterator Find(Key key) const;
-  /// Makes a range begin at `first`, unless that lies behind all keys.
+  /// Splits the range that contains `first` so that a range begins there. No effect if `first` is
+  /// beyond the last key.
   void CutAt(Key first);
-  /// Joins the range that begins at `first` with the one before it, if both agree.
+  /// Merges the range that begins at `first` into the previous one if owner and fence are equal.
   void MergeWithPrevious(Key first);
 
   Entries entries_;
--- a/src/core/ownership/assignments.h
+++ b/src/core/ownership/assignments.h
@@ -7,11 +7,11 @@
 
 namespace ladderstream::ownership {
 
-/// Adds `assignment`, which begins behind the last one; extends the last one if both agree in owner
-/// and fence.
+/// Appends `assignment`, which must begin after the last one, or extends the last one if owner and
+/// fence are equal.
 void AppendCoalesced(const Assignment& assignment, Assignments* assignments);
 
-/// Whether `assignments` is sorted and covers the whole key space without gaps or overlaps.
+/// Returns whether `assignments` is sorted and covers the full key space without gaps or overlaps.
 bool CoversAllKeys(const Assignments& assignments);
 
 }  // namespace ladderstream::ownership
--- a/src/core/ownership/map_changes.cc
+++ b/src/core/ownership/map_changes.cc
@@ -8,7 +8,7 @@
 namespace ladderstream::ownership {
 namespace {
 
-/// The assignments of `newer` that `older` does not have; both are sorted by key.
+/// Returns the assignments of `newer` that are not in `older`. Both must be sorted by key.
 Assignments Additions(const Assignments& older, const Assignments& newer) {
   Assignments additions;
   auto candidate = older.begin();
@@ -23,7 +23,8 @@
   return additions;
 }
 
-/// Whether all that differs between `held` and the newer map is among the changes.
+/// Returns whether `changes` contains everything that differs between version `held` and the newer
+/// map.
 bool AppliesTo(const MapVersion& held, const MapChanges& changes) {
   if (held == changes.base) {
     return true;
--- a/src/core/ownership/map_changes.h
+++ b/src/core/ownership/map_changes.h
@@ -1,5 +1,5 @@
-// What changed between two versions of the ownership map, so that nodes which hold the one need not
-// be sent the whole other.
+// Differences between two versions of the ownership map. Nodes that hold the older version receive
+// only these instead of the full map.
 #pragma once
 
 #include <cstddef>
@@ -15,11 +15,11 @@
 
 namespace ladderstream::ownership {
 
-/// Of one service: the assignments of the newer map that the older one does not have. What they
-/// cover replaces what the older map says of the same keys.
+/// The assignments of one service that are in the newer map but not in the older one. They replace
+/// the older map's assignments of the same keys.
 struct ServiceChanges {
   Assignments assignments;
-  /// Whole, as in the newer map.
+  /// The complete list of moving ranges of the newer map.
   std::vector<KeyRange> moving;
   MSGPACK_DEFINE_ARRAY(assignments, moving);
 };
@@ -27,31 +27,31 @@
 struct MapChanges {
   MapVersion base;
   MapVersion version;
-  /// Services that differ.
+  /// Services that changed or were added.
   std::map<std::string, ServiceChanges> services;
-  /// Services that are as they were; whatever is neither here nor above has gone.
+  /// Services that did not change. A service listed neither here nor in `services` was removed.
   std::vector<std::string> unchanged_services;
   MSGPACK_DEFINE_ARRAY(base, version, services, unchanged_services);
 };
 
-/// What leads from `older` to `newer`.
+/// Returns the changes that turn `older` into `newer`.
 MapChanges ChangesBetween(const OwnershipMap& older, const OwnershipMap& newer);
 
-/// The map that `changes` make of `held`; empty when they do not lead on from there.
+/// Returns `held` with `changes` applied, or nullopt if they do not apply to its version.
 ///
-/// Within one epoch they lead on from each version between the base and the newer one too: a key
-/// that has the same owner and fence in both had them all the time, for fences only rise. So a node
-/// that was answered between two pushes still takes the second. Empty also when a service went and
-/// came back since the base, and `held` is without it.
+/// Within one epoch they also apply to any version between the base and the newer one: fences only
+/// rise, so a key with equal owner and fence in both had them in every version between. A node that
+/// fetched a map between two pushes can therefore still apply the second push. Also returns nullopt
+/// if a service was removed and created again since the base and `held` does not contain it.
 std::optional<OwnershipMap> ApplyChanges(const OwnershipMap& held, const MapChanges& changes);
 
-/// The newest maps, to find what changed since one of them. Not thread-safe.
+/// Keeps the newest maps so that changes since one of them can be computed. Not thread-safe.
 class MapHistory {
  public:
   explicit MapHistory(size_t capacity) : capacity_(capacity) {}
 
   void Add(std::shared_ptr<const OwnershipMap> map);
-  /// The map of this version; null when it is not held (any more).
+  /// Returns the map of this version, or null if it is not or no longer kept.
   std::shared_ptr<const OwnershipMap> Find(const MapVersion& version) const;
 
  private:
--- a/src/core/ownership/order_book.cc
+++ b/src/core/ownership/order_book.cc
@@ -8,7 +8,7 @@
 namespace ladderstream::ownership {
 namespace {
 
-/// How long an order that was given up is remembered for a late answer.
+/// How long a timed-out order is kept so that a late answer can be matched.
 constexpr Duration kLateAnswerRetention = absl::Seconds(5);
 
 }  // namespace
--- a/src/core/ownership/order_book.h
+++ b/src/core/ownership/order_book.h
@@ -1,7 +1,7 @@
-// The orders (grants and releases) that were sent and not yet answered.
+// Orders (grants and releases) that were sent and not answered yet.
 //
-// A coordinator of many back ends has hundreds of them open and looks at them at each event, so
-// every question is answered from the orders of one back end, of which there are a few.
+// A coordinator of many back ends has hundreds of open orders and queries them on each event.
+// Queries therefore look only at the orders of one back end, which are few.
 #pragma once
 
 #include <cstddef>
@@ -25,7 +25,7 @@
   KeyRange range;
   Fence fence = 0;
   Time sent;
-  /// No answer came in time. A late one still counts.
+  /// No answer arrived within the order timeout. A late answer is still accepted.
   bool timed_out = false;
 };
 
@@ -33,21 +33,22 @@
  public:
   explicit OrderBook(Duration order_timeout) : order_timeout_(order_timeout) {}
 
-  /// Orders are added as they are sent: none before one that is there already.
+  /// Adds an order. Orders must be added in the order of their send times.
   void Add(Order order);
-  /// Takes the order out; empty when it is not known (any more).
+  /// Removes and returns the order; nullopt if it is unknown or no longer kept.
   std::optional<Order> Take(CallId call);
-  /// Gives the orders that have now waited for too long.
+  /// Marks the orders that exceeded the order timeout as timed out and returns them.
   std::vector<Order> TakeTimedOut(Time now);
   void Clear();
 
-  /// How many orders a back end has not answered yet, those given up left out.
+  /// Returns the number of unanswered orders of a back end, without those that timed out.
   size_t CountOpen(const std::string& backend) const;
-  /// Whether one of those concerns any key of `range`.
+  /// Returns whether an open order to `backend` overlaps `range`.
   bool HasOpen(const std::string& backend, const KeyRange& range) const;
-  /// When the newest open grant of any key of `range` was sent; InfinitePast without one.
+  /// Returns when the newest open grant that overlaps `range` was sent; InfinitePast if there is
+  /// none.
   Time LatestOpenGrant(const std::string& backend, const KeyRange& range) const;
-  /// When TakeTimedOut() has something to give.
+  /// Returns when the next order times out; InfiniteFuture if none is open.
   Time NextTimeout() const;
 
  private:
@@ -57,14 +58,14 @@
   };
 
   void Close(const Order& order);
-  /// Removes those at the front that wait for nothing.
+  /// Removes answered and timed-out orders from the front of `pending_`.
   void TrimPending();
 
   const Duration order_timeout_;
   std::unordered_map<CallId, Order> orders_;
-  /// The open orders of each back end that has any.
+  /// Open orders by back end; back ends without open orders have no entry.
   std::unordered_map<std::string, std::vector<CallId>> open_;
-  /// By the time they were sent. The first one of `pending_` is open, or there is none.
+  /// Sorted by send time. The first order of `pending_` is open unless the queue is empty.
   std::deque<Sent> pending_;
   std::deque<Sent> timed_out_;
 };
--- a/src/core/ownership/ownership_rows.cc
+++ b/src/core/ownership/ownership_rows.cc
@@ -17,10 +17,10 @@
 constexpr std::string_view kServicePrefix = "service/";
 constexpr std::string_view kSegmentPrefix = "segment/";
 
-/// Nobody, in the column of owners.
+/// Owner index of keys without an owner.
 constexpr uint32_t kNoOwner = 0;
 
-/// The most that a segment takes besides its owners and ranges.
+/// Maximum encoded size of a segment without its owners and ranges.
 constexpr size_t kSegmentOverheadBytes = 24;
 
 struct EncodedOwner {
@@ -32,7 +32,7 @@
 /// A range ends where the next one begins.
 struct EncodedRange {
   Key first = 0;
-  /// kNoOwner, or one more than the owner's place.
+  /// kNoOwner, or the index in `owners` plus 1.
   uint32_t owner = kNoOwner;
   Fence fence = 0;
   MSGPACK_DEFINE_ARRAY(first, owner, fence);
@@ -46,12 +46,12 @@
 
 struct EncodedSegment {
   EncodedService service;
-  /// Inside; a segment does not know where the next one begins.
+  /// Inclusive. Stored because a segment does not contain the first key of the next one.
   Key last = 0;
   MSGPACK_DEFINE_ARRAY(service, last);
 };
 
-/// An array of one element, as which no EncodedService can be read.
+/// An array of one element, which cannot be decoded as an EncodedService.
 struct EncodedSegmentList {
   std::vector<Key> firsts;
   MSGPACK_DEFINE_ARRAY(firsts);
@@ -84,7 +84,7 @@
   return encoded;
 }
 
-/// Throws Error(kMalformedMessage) when the assignments do not cover just `range`.
+/// Throws Error(kMalformedMessage) if the assignments do not cover exactly `range`.
 ServiceRow FromEncoded(const EncodedService& encoded, const KeyRange& range) {
   ServiceRow row;
   for (const EncodedOwner& owner : encoded.owners) {
@@ -95,19 +95,24 @@
     const EncodedRange& entry = encoded.ranges[i];
     const Key end = i + 1 < encoded.ranges.size() ? encoded.ranges[i + 1].first : range.last + 1;
     if (entry.owner > encoded.owners.size() || entry.first != next || end <= entry.first) {
-      throw Error(ResultCode::kMalformedMessage, "row of a service: bad range");
+      throw Error(ResultCode::kMalformedMessage,
+                  absl::StrCat("service row: range ", i, " begins at ", entry.first,
+                               " and ends before ", end, ", expected to begin at ", next,
+                               "; owner index ", entry.owner, " of ", encoded.owners.size()));
     }
     const std::string owner = entry.owner == kNoOwner ? "" : encoded.owners[entry.owner - 1].id;
     row.assignments.push_back({{entry.first, end - 1}, owner, entry.fence});
     next = end;
   }
   if (next != range.last + 1) {
-    throw Error(ResultCode::kMalformedMessage, "row of a service: keys are missing");
+    throw Error(ResultCode::kMalformedMessage,
+                absl::StrCat("service row: assignments end before key ", next,
+                             ", expected to end at ", range.last));
   }
   return row;
 }
 
-/// Adds the keys of a segment to what was read of its service.
+/// Appends the assignments and addresses of a segment to its service's row.
 void Append(const ServiceRow& segment, ServiceRow* row) {
   for (const Assignment& assignment : segment.assignments) {
     AppendCoalesced(assignment, &row->assignments);
@@ -128,13 +133,15 @@
   const std::string key = SegmentRowKey(service, range.first);
   const auto row = rows.find(key);
   if (row == rows.end()) {
-    AppendUnreadable(range, absl::StrCat(key, ": it is missing"), stored);
+    AppendUnreadable(range, absl::StrCat(key, ": row is missing"), stored);
     return;
   }
   try {
     const ServiceRow segment = DecodeSegment(row->second->value, range.first);
     if (segment.assignments.back().range.last != range.last) {
-      throw Error(ResultCode::kMalformedMessage, "segment of a service: it ends elsewhere");
+      throw Error(ResultCode::kMalformedMessage,
+                  absl::StrCat("segment ends at ", segment.assignments.back().range.last,
+                               ", head row expects ", range.last));
     }
     Append(segment, &stored->row);
   } catch (const Error& error) {
@@ -213,7 +220,7 @@
 }
 
 bool IsSegmentList(std::string_view value) {
-  // The head of an array with one element.
+  // The msgpack header of an array of one element.
   constexpr char kOneElement = static_cast<char>(0x91);
   return !value.empty() && value.front() == kOneElement;
 }
@@ -224,7 +231,8 @@
       std::adjacent_find(list.firsts.begin(), list.firsts.end(), std::greater_equal<>());
   if (list.firsts.empty() || list.firsts.front() != 0 || list.firsts.back() > kLastKey ||
       unordered != list.firsts.end()) {
-    throw Error(ResultCode::kMalformedMessage, "row of a service: bad list of segments");
+    throw Error(ResultCode::kMalformedMessage,
+                "service row: segment list must ascend from 0 to at most the last key");
   }
   return std::move(list.firsts);
 }
@@ -237,7 +245,9 @@
 ServiceRow DecodeSegment(std::string_view value, Key first) {
   const auto segment = Decode<EncodedSegment>(value);
   if (segment.last < first || segment.last > kLastKey) {
-    throw Error(ResultCode::kMalformedMessage, "segment of a service: bad end");
+    throw Error(
+        ResultCode::kMalformedMessage,
+        absl::StrCat("segment ends at ", segment.last, ", expected ", first, " to ", kLastKey));
   }
   return FromEncoded(segment.service, {first, segment.last});
 }
--- a/src/core/ownership/ownership_rows.h
+++ b/src/core/ownership/ownership_rows.h
@@ -1,10 +1,11 @@
-// How the lease and the assignments are written in the metadata store: one lease row, and for each
-// service one row or a head row with segments, all in one table and partition.
+// Encoding of the lease and the assignments in the metadata store: one lease row, and for each
+// service either one row or a head row with segments. All rows share one table and partition.
 //
-// A service whose assignment fits into one row has just that: its head row holds all of it. Of a
-// larger one the head row names the segments, each of which holds the assignments of adjoining
-// keys, so that no row grows with the service. A reader that knows only the first form finds such
-// a head row malformed and so takes the keys for ones whose owners are not known.
+// A service whose assignment fits into one row has only a head row, which holds the full
+// assignment. The head row of a larger service lists its segments, each of which holds the
+// assignments of a contiguous key range, so that row size does not grow with the service. A reader
+// that supports only the single-row format rejects a segment list as malformed and treats the
+// owners of these keys as unknown.
 #pragma once
 
 #include <cstdint>
@@ -21,11 +22,11 @@
 
 namespace ladderstream::ownership {
 
-/// The key of the lease row. Sorts before the keys of services and segments.
+/// Key of the lease row. Sorts before the keys of services and segments.
 inline constexpr char kLeaseRowKey[] = "lease";
 
-/// Who holds the lease. Every transaction of a holder rewrites this row, with another nonce each
-/// time, so that reading it tells which of several unanswered transactions was applied.
+/// The lease holder. Every transaction of the holder rewrites this row with a new nonce, so that
+/// reading the row shows which of several unanswered transactions was applied.
 struct LeaseRow {
   uint64_t epoch = 0;
   uint64_t incarnation = 0;
@@ -35,70 +36,69 @@
   MSGPACK_DEFINE_ARRAY(epoch, incarnation, nonce, peer_address);
 };
 
-/// The committed assignment of one service, or of the keys of one segment.
+/// The committed assignment of one service or of one segment.
 struct ServiceRow {
   Assignments assignments;
-  /// Where the owners were registered, so that a successor can reach one whose registration is
-  /// gone.
+  /// Addresses at which the owners were registered, so that a successor can reach an owner that is
+  /// no longer registered.
   std::map<std::string, Endpoint> addresses;
 };
 
-/// The key of a service's head row.
+/// Returns the key of a service's head row.
 std::string ServiceRowKey(const std::string& service);
-/// The service of a head row's key; empty when the row is not a head row.
+/// Returns the service of a head row's key; empty if the key is not that of a head row.
 std::string ServiceOfRowKey(std::string_view key);
-/// The key of the segment that begins at `first`.
+/// Returns the key of the segment that begins at `first`.
 std::string SegmentRowKey(const std::string& service, Key first);
 struct SegmentId {
   std::string service;
   Key first = 0;
 };
-/// The segment of a row's key; none when the row is not a segment.
+/// Returns the segment of a row's key; nullopt if the key is not that of a segment.
 std::optional<SegmentId> SegmentOfRowKey(std::string_view key);
-/// Whether the row holds assignments: a head row or a segment.
+/// Returns whether the key is that of a head row or a segment.
 bool IsAssignmentKey(std::string_view key);
 
 std::string EncodeLeaseRow(const LeaseRow& row);
 /// Throws Error(kMalformedMessage).
 LeaseRow DecodeLeaseRow(std::string_view value);
 
-/// The head row of a service without segments.
+/// Encodes the head row of a service without segments.
 std::string EncodeServiceRow(const ServiceRow& row);
-/// Throws Error(kMalformedMessage), also when the assignments do not cover all keys.
+/// Throws Error(kMalformedMessage), also if the assignments do not cover all keys.
 ServiceRow DecodeServiceRow(std::string_view value);
 
-/// The head row of a service with segments that begin at these keys, in rising order from 0 on.
+/// Encodes the head row of a service whose segments begin at `firsts`, which must ascend from 0.
 std::string EncodeSegmentList(const std::vector<Key>& firsts);
-/// Whether a head row names segments.
+/// Returns whether a head row holds a segment list.
 bool IsSegmentList(std::string_view value);
 /// Throws Error(kMalformedMessage).
 std::vector<Key> DecodeSegmentList(std::string_view value);
 
-/// The assignments of adjoining keys.
+/// Encodes the assignments of a contiguous key range.
 std::string EncodeSegment(const ServiceRow& row);
-/// Throws Error(kMalformedMessage), also when the assignments do not adjoin each other from `first`
-/// on.
+/// Throws Error(kMalformedMessage), also if the assignments are not contiguous from `first` on.
 ServiceRow DecodeSegment(std::string_view value, Key first);
 
-/// Cuts `row` into parts of adjoining keys that take at most `max_bytes` each as a segment; a part
+/// Splits `row` into contiguous parts, each of which takes at most `max_bytes` as a segment. A part
 /// with a single assignment may take more.
 std::vector<ServiceRow> SplitRow(const ServiceRow& row, size_t max_bytes);
 
 /// One service as read from all rows of the table.
 struct StoredService {
   ServiceRow row;
-  /// The head row names segments; else it holds everything, or cannot be read.
+  /// True if the head row lists segments; false if it holds the full assignment or cannot be read.
   bool has_segments = false;
-  /// Where the segments begin; just 0 without any.
+  /// First keys of the segments; only 0 if there are none.
   std::vector<Key> segment_firsts;
-  /// Keys whose rows are missing or cannot be read; nobody owns them in `row`.
+  /// Key ranges whose rows are missing or cannot be read; they have no owner in `row`.
   std::vector<KeyRange> unreadable;
-  /// One entry for each row that cannot be read, for logs.
+  /// One message for each row that cannot be read, for logs.
   std::vector<std::string> faults;
 };
 
-/// The services among the rows of the table, in any order. Segments that their head row does not
-/// name are left out.
+/// Returns the services found in `rows`, which may be in any order. Segments that their head row
+/// does not list are ignored.
 std::map<std::string, StoredService> ReadServices(const std::vector<store::Row>& rows);
 
 }  // namespace ladderstream::ownership
--- a/src/core/ownership/range_table.h
+++ b/src/core/ownership/range_table.h
@@ -1,5 +1,5 @@
-// The key space of one service as its coordinator works on it: ranges, each with what happens to
-// it.
+// The coordinator's working state of one service's key space: ranges and the transitions that they
+// are in.
 #pragma once
 
 #include <cstdint>
@@ -15,107 +15,109 @@
 namespace ladderstream::ownership {
 
 enum class RangePhase {
-  /// Committed to its owner, which is granted it and renewed.
+  /// Committed to its owner, which receives grants and renewals.
   kOwned,
-  /// Renewals have stopped; the release is repeated until it is answered or the hold has run out.
+  /// Renewals have stopped. The release is repeated until it is answered or the hold has expired.
   kReleasing,
-  /// No back end holds it, and no next owner is known.
+  /// No back end holds it, and the next owner is not chosen yet.
   kReleased,
-  /// No back end holds it, and its next owner is being committed.
+  /// No back end holds it, and the commit of its next owner is pending.
   kCommitting,
 };
 
 struct RangeState {
   KeyRange range;
   RangePhase phase = RangePhase::kOwned;
-  /// As committed; empty: nobody.
+  /// The committed owner; empty if there is none.
   std::string owner;
   Fence fence = 0;
 
-  /// The latest moment at which the owner may have taken a grant, as far as no order in the order
-  /// book says more; InfinitePast when it surely never took one.
+  /// The latest time at which the owner may have accepted a grant, apart from orders still in the
+  /// order book. InfinitePast if it certainly never accepted one.
   Time last_grant = absl::InfinitePast();
-  /// When the next grant (kOwned) or release (kReleasing) is sent.
+  /// Send time of the next grant (kOwned) or release (kReleasing).
   Time order_due = absl::InfinitePast();
-  /// The owner answered a grant of this coordinator.
+  /// The owner confirmed a grant of this coordinator.
   bool confirmed = false;
-  /// Listed as moving: routing waits for it.
+  /// The range is listed as moving in the map, so requests for it are held.
   bool moving = false;
-  /// Since when; InfinitePast when not.
+  /// When `moving` was set; InfinitePast if it is not set.
   Time moving_since = absl::InfinitePast();
-  /// What the previous owner handed over, until the owner has confirmed its grant.
+  /// Handover data of the previous owner, kept until the new owner confirms its grant.
   std::string handover;
 
-  /// The owner has seen a higher fence: nothing is sent under this one any more.
+  /// The owner has seen a higher fence, so no more orders are sent under this one.
   bool fenced = false;
-  /// kOwned: a higher fence for the same owner, to be committed; 0 for none.
+  /// In kOwned: a higher fence for the same owner that is to be committed; 0 if there is none.
   Fence next_fence = 0;
-  /// When a fence that was refused is replaced.
+  /// When a rejected fence is replaced.
   Time refence_due = absl::InfinitePast();
-  /// When a node last said that the owner denies holding it.
+  /// When a node last reported that the owner rejected a request as not the owner.
   Time denied_at = absl::InfinitePast();
-  /// Its change is not committed sooner: the store refused it.
+  /// Earliest time of the next commit attempt, set after the store rejected one.
   Time commit_not_before = absl::InfinitePast();
-  /// Other phases: who gets it, under next_fence; empty while not known.
+  /// In the other phases: the next owner, committed under next_fence; empty while not chosen.
   std::string next_owner;
 
-  /// Nothing is under way with it.
+  /// Returns whether no transition of the range is in progress.
   bool Settled() const { return phase == RangePhase::kOwned && !moving && next_fence == 0; }
 };
 
-/// Ranges by key, with indexes over those that something is under way with and over the times at
-/// which orders are due, so that a step of the coordinator costs what is to be done in it.
+/// Ranges by key, with indexes of the ranges in transition and of the times at which orders are
+/// due. The cost of a coordinator step therefore depends on the work due in it and not on the
+/// number of ranges.
 ///
-/// Pointers to ranges that may be changed are valid until the next cut or join. What is changed
-/// through one is indexed before the table is asked for anything that an index answers.
+/// Mutable pointers to ranges are valid until the next split or merge. Changes made through them
+/// are indexed before the next query that uses an index.
 class RangeTable {
  public:
   using Ranges = std::map<Key, RangeState>;
 
-  /// Every key is free and was never held.
+  /// Creates a table in which no key has an owner or was ever held.
   RangeTable();
-  /// Every range is owned as committed; its owner may have been granted it until `last_grant`.
+  /// Creates a table in which every range is owned as committed. Owners may have accepted grants
+  /// until `last_grant`.
   RangeTable(const Assignments& committed, Time last_grant);
 
-  /// By the first key.
+  /// Ranges by their first key.
   const Ranges& ranges() const { return ranges_; }
   size_t size() const { return ranges_.size(); }
 
-  /// The range that holds `key`, to be changed.
+  /// Returns the range that contains `key`, for modification.
   RangeState& At(Key key);
-  /// Those that share keys with `range`, in order, to be changed.
+  /// Returns the ranges that overlap `range`, sorted by key, for modification.
   std::vector<RangeState*> Overlapping(const KeyRange& range);
-  /// All of them, to be changed.
+  /// Returns all ranges, for modification.
   std::vector<RangeState*> All() { return Overlapping({0, kLastKey}); }
 
-  /// Those that something is under way with, in order.
+  /// Returns the ranges in transition, sorted by key.
   std::vector<const RangeState*> Busy() const;
-  /// Those whose owner has not confirmed them, in order.
+  /// Returns the ranges whose owner has not confirmed its grant, sorted by key.
   std::vector<const RangeState*> Unconfirmed() const;
-  /// Those whose grant or release is due, in order of the times.
+  /// Returns the ranges whose grant or release is due, sorted by due time.
   std::vector<const RangeState*> Due(Time now) const;
-  /// When the next grant or release after `now` is due.
+  /// Returns when the next grant or release after `now` is due.
   Time NextDue(Time now) const;
 
-  /// Cuts the range that holds `first`, so that one begins there; not one that is being released,
-  /// committed or given another fence.
+  /// Splits the range that contains `first` so that a range begins there. No effect on a range that
+  /// is being released, committed or given another fence.
   void SplitAt(Key first);
-  /// Cuts the range that holds `last`, so that one ends there, whatever its phase. Both parts go on
-  /// as the whole did.
+  /// Splits the range that contains `last` so that a range ends there, whatever its phase. Both
+  /// parts keep the state of the range.
   void CutAfter(Key last);
-  /// Joins neighbours that agree in everything that matters.
+  /// Merges adjacent ranges whose owner, fence and transition state are equal.
   void MergeAdjacent();
-  /// Owners and fences as routing sees them.
+  /// Returns the owners, fences and moving ranges for the ownership map.
   ServiceOwnership Ownership() const;
 
-  /// Ranges put into the indexes anew so far.
+  /// Returns how many ranges were indexed so far, for tests of the cost per step.
   uint64_t indexed() const { return indexed_; }
 
  private:
   struct Indexed {
     bool busy = false;
     bool unconfirmed = false;
-    /// Infinite when no order is due.
+    /// InfiniteFuture if no order is due.
     Time due = absl::InfiniteFuture();
     bool operator==(const Indexed&) const = default;
   };
@@ -125,20 +127,20 @@
   std::vector<const RangeState*> Find(const Keys& keys) const;
 
   Ranges::iterator Find(Key key);
-  /// Notes that the range is about to be changed.
+  /// Marks the range as changed and returns it for modification.
   RangeState& Touch(Ranges::iterator entry);
   void CutAt(Key first);
-  /// Brings the indexes up to date with what was changed.
+  /// Updates the indexes for all changed ranges.
   void Reindex() const;
-  /// Puts a range's entry, null for none, in the place of the one that the indexes hold.
+  /// Replaces the indexed entry of the range that begins at `first`; null removes it.
   void Replace(Key first, const Indexed* entry) const;
-  /// Joins the range with the one behind it if they agree. Gives whether it did.
+  /// Merges the range with the next one if possible. Returns whether it did.
   bool MergeWithNext(Ranges::iterator entry);
 
   Ranges ranges_;
   /// First keys of ranges that may have changed since they were indexed.
   mutable Keys touched_;
-  /// The same since neighbours were last joined.
+  /// First keys of ranges that may have changed since adjacent ranges were last merged.
   Keys unmerged_;
   mutable std::map<Key, Indexed> index_;
   mutable Keys busy_;
@@ -147,12 +149,12 @@
   mutable uint64_t indexed_ = 0;
 };
 
-/// Whether two ranges share a key.
+/// Returns whether two ranges share a key.
 inline bool Overlap(const KeyRange& one, const KeyRange& other) {
   return one.first <= other.last && other.first <= one.last;
 }
 
-/// Whether `outer` holds every key of `inner`.
+/// Returns whether `outer` contains every key of `inner`.
 inline bool Covers(const KeyRange& outer, const KeyRange& inner) {
   return outer.first <= inner.first && inner.last <= outer.last;
 }
--- a/src/core/ownership/service_rows.cc
+++ b/src/core/ownership/service_rows.cc
@@ -6,10 +6,11 @@
 namespace ladderstream::ownership {
 namespace {
 
-/// A row that is cut gets parts of this share, so that it is not cut again soon.
+/// Parts of a split row are filled to this share of the size limit, so that they are not split
+/// again soon.
 constexpr double kPartShare = 2.0 / 3;
 
-/// `range` as far as it lies within `bounds`.
+/// Returns the part of `range` within `bounds`.
 KeyRange Clip(const KeyRange& range, const KeyRange& bounds) {
   return {std::max(range.first, bounds.first), std::min(range.last, bounds.last)};
 }
--- a/src/core/ownership/service_rows.h
+++ b/src/core/ownership/service_rows.h
@@ -1,8 +1,8 @@
-// Which rows of the store hold one service's assignment, and what a commit writes to them.
+// Layout of one service's assignment in the rows of the store, and the rows that a commit writes.
 //
-// A commit rewrites the rows whose keys it changes and cuts those that would get too long, so what
-// it writes grows with the change and not with the service. Rows are never joined again: their
-// number is bounded by what the service once needed.
+// A commit rewrites the rows whose keys it changes and splits rows that would exceed the size
+// limit, so its size grows with the change and not with the service. Rows are never merged again;
+// their number is bounded by the largest size that the service ever had.
 #pragma once
 
 #include <cstddef>
@@ -23,16 +23,16 @@
 
   explicit ServiceRows(std::string service) : service_(std::move(service)) {}
 
-  /// The rows are as read.
+  /// Takes the row layout from the stored service.
   void Adopt(const StoredService& stored);
-  /// These rows were written, by key; those of other services are passed over.
+  /// Updates the layout after these rows, by key, were written. Rows of other services are ignored.
   void OnWritten(const std::map<std::string, std::string>& rows);
 
-  /// The last key of `range` up to which no more than `most` rows hold its keys.
+  /// Returns the last key of `range` up to which at most `max_rows` rows hold its keys.
   Key LastWithin(const KeyRange& range, size_t max_rows) const;
 
-  /// Adds to `rows`, by key, what is to be written so that `changes`, which do not overlap, take
-  /// effect. `committed` is the assignment before them.
+  /// Adds to `rows`, by key, the rows that apply `changes`, which must not overlap. `committed` is
+  /// the assignment before the changes.
   void Encode(const Assignments& changes, const AssignmentTable& committed,
               const AddressOf& address_of, size_t row_bytes,
               std::map<std::string, std::string>* rows) const;
@@ -44,9 +44,9 @@
                    std::vector<Key>* new_firsts) const;
 
   std::string service_;
-  /// Where the rows begin, in order.
+  /// First keys of the rows, ascending.
   std::vector<Key> firsts_ = {0};
-  /// The head row names segments; else it holds everything.
+  /// True if the head row lists segments; false if it holds the full assignment.
   bool has_segments_ = false;
 };
 
