--- a/src/core/ownership/backend_directory.cc
+++ b/src/core/ownership/backend_directory.cc
@@ -8,35 +8,38 @@
 namespace ladderstream::ownership {
 namespace {
 
-/// Fewer failures in a row than this may be chance, or a pause of this process.
+/// Consecutive failures needed to regard a back end as unresponsive. Fewer may be chance or a pause
+/// of this process.
 constexpr uint32_t kUnresponsiveFailures = 3;
 
-/// How long a silent back end gets no keys; doubled each time that it turns silent again without an
-/// answer between.
+/// How long an unresponsive back end is assigned no keys. Doubles each time that it becomes
+/// unresponsive again without an answer in between.
 constexpr Duration kMinExclusion = absl::Seconds(3);
 constexpr Duration kMaxExclusion = absl::Seconds(30);
 
-/// Counts of rests and answers fade with this time constant: that of the reports of a few turns.
+/// Time constant of the decay of back-off and answer counts; spans the reports of a few report
+/// intervals.
 constexpr Duration kDeclinedDecay = absl::Seconds(3);
-/// One rest may be chance; so may be some beside so many answers.
+/// A single back-off may be chance, and so may a few among many answers.
 constexpr double kMinDeclinedToAvoid = 1.5;
 constexpr double kMinDeclinedShare = 0.25;
-/// A back end that goes on declining gets no keys for twice as long each time, as every change of
-/// owner is paid for; a minute after it was given some again that is forgotten.
+/// The avoidance time doubles while a back end keeps declining, because every change of owner has a
+/// cost. The last avoidance is disregarded one minute after it ended.
 constexpr Duration kMinAvoidance = absl::Seconds(5);
 constexpr Duration kMaxAvoidance = absl::Minutes(1);
 constexpr Duration kAvoidanceMemory = absl::Minutes(1);
-/// Where more of a service are ill, or all are overloaded, moving keys only moves the trouble:
-/// deployments are made to bear the loss of one zone of three.
+/// If more of a service's back ends decline, or all are overloaded, moving keys only moves the
+/// overload. Deployments are sized for the loss of one of three zones.
 constexpr double kMaxAvoidedShare = 1.0 / 3;
 
-/// Where a whole service comes to have limits, or to have none any more, its back ends say so one
-/// after the other: keys would go from those that did to those that are about to. Limits are taken
-/// up when none came or went for kLimitsSettle, and kMaxLimitsSettle after the first at the latest.
+/// When a whole service starts or stops having limits, its back ends report this one after the
+/// other, and keys would move from those that have reported to those that are about to. Limits are
+/// used after kLimitsSettle without such a change, and at the latest kMaxLimitsSettle after the
+/// first one.
 constexpr Duration kLimitsSettle = absl::Seconds(1);
 constexpr Duration kMaxLimitsSettle = absl::Seconds(3);
 
-/// With fewer back ends, nothing is concluded from most of them being silent.
+/// With fewer back ends, no conclusion is drawn from most of them being unresponsive.
 constexpr size_t kMinForMajority = 3;
 
 void FadeCounts(KnownBackend* backend, Time now) {
@@ -85,7 +88,7 @@
   const auto same_instance = by_instance_.find(instance);
   if (same_instance != by_instance_.end()) {
     for (const std::string& id : same_instance->second) {
-      // An old row may be read late: only a later start proves that an earlier one ended.
+      // Rows may be read late, so only a later start proves that an earlier incarnation ended.
       if (backends_.at(id).address != newcomer.address &&
           catalog::StartOf(newcomer.id) > catalog::StartOf(id)) {
         add_ended(id);
@@ -216,7 +219,7 @@
   KnownBackend& known = found->second;
   ++known.failures;
   known.only_refused = known.only_refused && refused;
-  // A pause of this process is no silence of the back end.
+  // Time in which this process was paused does not count against the back end.
   const Time noticed = std::max(sent, now - settings_.order_timeout);
   known.failing_since = std::min(known.failing_since, noticed);
   failing_.insert(id);
@@ -392,7 +395,8 @@
 std::vector<partition::PartitionBackend> BackendDirectory::ForPartitioner(
     const std::string& service, const std::set<std::string>& owners, Time now) const {
   std::vector<partition::PartitionBackend> backends;
-  // An owner has no substitute: while it is cold, most requests for its keys are refused.
+  // No other back end can serve an owner's keys, so while the owner is cold most requests for them
+  // are refused.
   const bool avoid_cold = AnyWarmAccepts(service, now);
   for (const auto& [id, known] : backends_) {
     if (known.service != service || (!known.registered && !owners.contains(id))) {
--- a/src/core/ownership/backend_directory.h
+++ b/src/core/ownership/backend_directory.h
@@ -1,5 +1,5 @@
-// What the coordinator knows of each back end: where it is, whether it is registered, draining,
-// silent, cold or proven to have ended.
+// The coordinator's state of each back end: address, registration, draining, responsiveness, slow
+// start, and whether it is proven to have ended.
 #pragma once
 
 #include <map>
@@ -23,46 +23,49 @@
   std::string zone;
   uint32_t slots = 1;
   bool registered = false;
-  /// It drains, or its zone is evacuated.
+  /// The back end drains, or its zone is evacuated.
   bool leaving = false;
-  /// Proven; never taken back.
+  /// Proven to have ended; never reset.
   bool ended = false;
-  /// Slow from its start until then, and whether it takes only a bounded rate of requests then.
+  /// End of the slow start after the back end's start, and whether the back end accepts only a
+  /// limited request rate until then.
   Time cold_until = absl::InfinitePast();
   bool bounded_by_cold = false;
 
-  /// Rests that nodes keep for it, and requests that it served, both fading since `counted_at`.
+  /// Back-offs that nodes observe for the back end, and requests that it served. Both decay
+  /// exponentially from `counted_at`.
   double declined = 0;
   double served = 0;
   Time counted_at = absl::InfinitePast();
-  /// It turns requests away though it has room, and gets no keys before.
+  /// The back end rejects requests although it has free slots; it is assigned no keys until then.
   Time avoided_until = absl::InfinitePast();
   Duration avoidance = absl::ZeroDuration();
 
-  /// Requests a second that it takes from all nodes together, as it last said, and as partitioning
-  /// takes it.
+  /// Requests per second that the back end accepts from all nodes together: as last reported, and
+  /// as used by partitioning.
   std::optional<double> reported_limit;
   std::optional<double> rate_limit;
 
-  /// Grants in a row that were not confirmed.
+  /// Consecutive unconfirmed grants.
   uint32_t failures = 0;
-  /// Every one of them was a refused connection.
+  /// All of these failures were refused connections.
   bool only_refused = true;
   Time failing_since = absl::InfiniteFuture();
   bool unresponsive = false;
-  /// A silent back end may be tried with keys again from then on.
+  /// An unresponsive back end may be assigned keys again from then on.
   Time excluded_until = absl::InfinitePast();
   Duration exclusion = absl::ZeroDuration();
 };
 
-/// What an update of the registered back ends showed.
+/// Result of an update of the registered back ends.
 struct RegistrationChanges {
-  /// Somebody of a sharded service came, left, or began to drain.
+  /// A back end of a sharded service was registered, was deregistered, or began to drain.
   bool any = false;
-  /// Proven to have ended: another back end registered newly at the address of a known one, or an
-  /// incarnation of the same one at another address. One that started again at its old address is
-  /// not among them: renewals that were meant for the earlier incarnation may have reached it, so
-  /// its keys are released, which it answers at once, before they are granted anew.
+  /// Back ends proven to have ended: another back end was newly registered at the address of a
+  /// known one, or another incarnation of the same back end at another address. A back end that
+  /// restarted at its old address is not included: renewals meant for the earlier incarnation may
+  /// have reached the new one, so its keys are released before they are granted again. The new
+  /// incarnation answers that release at once.
   std::vector<std::string> ended;
 };
 
@@ -70,86 +73,91 @@
  public:
   explicit BackendDirectory(const CoordinatorSettings& settings);
 
-  /// What changed in the registered back ends; those of other services than the `sharded` ones only
-  /// show that whoever had their addresses before has ended.
+  /// Applies a change of the registered back ends and returns its effects. Back ends of services
+  /// not in `sharded` are used only as proof that earlier back ends at their addresses have ended.
   RegistrationChanges Update(const catalog::BackendChanges& changes,
                              const std::set<std::string>& sharded);
-  /// An owner that a row of the store names, and its address.
+  /// Adds an owner named by a row of the store, with its address.
   void AddOwner(const std::string& id, const std::string& service, const Endpoint& address);
-  /// Very many are known that are not registered.
+  /// Returns whether more than kMaxUnregistered known back ends are not registered.
   bool NeedsPruning() const { return backends_.size() - registered_count_ > kMaxUnregistered; }
-  /// Forgets those that are neither registered nor in `needed`.
+  /// Removes back ends that are neither registered nor in `needed`.
   void PruneUnregistered(const std::set<std::string>& needed);
 
   void MarkEnded(const std::string& id);
-  /// It answered an order. Gives whether it was silent until now.
+  /// Records an answer to an order. Returns whether the back end was unresponsive until now.
   bool RecordAnswer(const std::string& id);
-  /// A grant was not confirmed; `refused`: nothing listened at its address.
+  /// Records an unconfirmed grant. `refused`: the connection was refused because nothing listened
+  /// at the address.
   void RecordFailure(const std::string& id, bool refused, Time sent, Time now);
-  /// A node leaves it alone for `rest`, since it turned a request away with free slots. Gives
-  /// whether its keys are to go elsewhere from now on.
+  /// Records that a node backs off from the back end for `backoff` because it rejected a request
+  /// with free slots. Returns whether its keys are to move to other back ends from now on.
   bool RecordDeclined(const std::string& id, Duration backoff, Time now);
-  /// The limits that back ends have named, in requests a second; all others have none. Taken up
-  /// once the service's limits have settled.
+  /// Sets the reported limits in requests per second; back ends not listed have none. Partitioning
+  /// uses them once the limits of the service have settled.
   void SetRateLimits(const std::map<std::string, double>& limits, Time now);
-  /// It served so many requests.
+  /// Records served requests.
   void RecordServed(const std::string& id, uint32_t answers, Time now);
-  /// It left a release unanswered: if it is silent, it stays so for a while longer.
+  /// Records an unanswered release; extends the exclusion of an unresponsive back end.
   void RecordUnansweredRelease(const std::string& id, Time now);
-  /// Gives those that turned silent since the last call.
+  /// Returns the back ends that became unresponsive since the last call.
   std::vector<std::string> TakeNewlyUnresponsive(Time now);
-  /// When TakeNewlyUnresponsive() may give something next.
+  /// Returns the earliest time at which TakeNewlyUnresponsive() may return a back end.
   Time NextUnresponsiveCheck() const;
 
-  /// Null when nothing is known of it.
+  /// Returns null if the back end is unknown.
   const KnownBackend* Find(const std::string& id) const;
   bool IsRegistered(const std::string& id) const;
   bool HasEnded(const std::string& id) const;
-  /// Whether it may be given keys.
+  /// Returns whether the back end may be assigned keys.
   bool Accepts(const std::string& id) const;
-  /// Whether it may keep the keys that it has.
+  /// Returns whether the back end may keep its keys.
   bool Keeps(const std::string& id) const;
   bool AnyAccepts(const std::string& service) const;
 
-  /// The registered back ends of `service`, and its other `owners`.
+  /// Returns the registered back ends of `service`, and those in `owners` that are no longer
+  /// registered.
   std::vector<partition::PartitionBackend> ForPartitioner(const std::string& service,
                                                           const std::set<std::string>& owners,
                                                           Time now) const;
 
  private:
-  /// Back ends that have gone are forgotten only above this many: the row of one that is known may
-  /// come back late without passing for a newcomer at its address.
+  /// Number of unregistered back ends above which they are pruned. Below it they are kept, so that
+  /// the row of a known back end that arrives late is not taken for a new back end at its address.
   static constexpr size_t kMaxUnregistered = 2048;
 
-  /// Those of one service that are registered and have not ended.
+  /// Registered back ends of one service that have not ended.
   struct ServiceCounts {
     size_t registered = 0;
     size_t unresponsive = 0;
   };
 
-  /// Adds a back end that is not known to the indexes, or takes it out.
+  /// Adds a back end to the indexes, or removes it from them.
   void AddToIndexes(const std::string& id, const KnownBackend& known);
   void RemoveFromIndexes(const std::string& id, const KnownBackend& known);
-  /// Ids of known ones that a newcomer proves to have ended, appended to `ended`.
+  /// Appends to `ended` the ids of known back ends that `newcomer` proves to have ended.
   void FindEnded(const catalog::Backend& newcomer, std::vector<std::string>* ended) const;
-  /// Counts it in its service, or takes that back (`by` -1), as it stands now.
+  /// Adds the back end's current state to the counts of its service, or subtracts it (`by` -1).
   void Count(const KnownBackend& known, int by);
-  /// Sets whether it is silent.
+  /// Sets the unresponsive state and updates the counts.
   void SetUnresponsive(KnownBackend* known, bool unresponsive);
 
   static bool IsBoundedByCold(const KnownBackend& backend, Time now) {
     return backend.bounded_by_cold && now < backend.cold_until;
   }
-  /// Whether it is avoided, and so few of its service are that the others can take over.
+  /// Returns whether the back end is avoided. False if so many back ends of its service are avoided
+  /// that the others could not take over.
   bool IsAvoided(const KnownBackend& backend, Time now) const;
-  /// Whether some back end of the service may be given keys and bears any rate of requests.
+  /// Returns whether a back end of the service may be assigned keys and accepts requests at an
+  /// unlimited rate.
   bool AnyWarmAccepts(const std::string& service, Time now) const;
-  /// Most of a service's back ends are silent: more likely this node is cut off.
+  /// Returns whether most of a service's back ends are unresponsive, in which case this node is
+  /// more likely to be disconnected than they are.
   bool MostAreUnresponsive(const std::string& service) const;
 
-  /// Back ends of one service that came to have a limit, or to have none any more.
+  /// Times of changes in whether back ends of one service have a limit, as far as partitioning does
+  /// not use them yet. Infinite if there are none.
   struct LimitChanges {
-    /// Of those that were not taken up; infinite when there are none.
     Time first = absl::InfiniteFuture();
     Time last = absl::InfinitePast();
   };
@@ -158,15 +166,15 @@
   const CoordinatorSettings settings_;
   std::map<std::string, KnownBackend> backends_;
   std::map<Endpoint, std::set<std::string>> by_address_;
-  /// By the name that a back end gives itself.
+  /// By the instance name that a back end reports.
   std::map<std::string, std::set<std::string>, std::less<>> by_instance_;
   size_t registered_count_ = 0;
   std::map<std::string, ServiceCounts> counts_;
-  /// Those that failed lately or are silent; all others confirmed their last grant.
+  /// Back ends with recent failures or unresponsive ones; all others confirmed their last grant.
   std::set<std::string> failing_;
   /// By service.
   std::map<std::string, LimitChanges> limit_changes_;
-  /// Some had a limit when limits were last set.
+  /// At least one back end had a limit when limits were last set.
   bool any_limited_ = false;
 };
 
--- a/tests/unit/ownership/backend_directory_test.cc
+++ b/tests/unit/ownership/backend_directory_test.cc
@@ -1,4 +1,4 @@
-// Who may be given keys, and who may keep them, as the partitioner is told.
+// Which back ends may be assigned keys and which may keep them, as reported to the partitioner.
 #include "core/ownership/backend_directory.h"
 
 #include <boost/test/unit_test.hpp>
@@ -47,7 +47,7 @@
   BOOST_TEST(Find("cold").accepts);
 }
 
-BOOST_AUTO_TEST_CASE(cold_back_ends_own_the_keys_when_nobody_is_warm) {
+BOOST_AUTO_TEST_CASE(cold_back_ends_own_the_keys_when_none_is_warm) {
   Add("cold", absl::Seconds(3));
   Add("left", absl::ZeroDuration(), true);
   BOOST_TEST(Find("cold").accepts);
@@ -67,9 +67,9 @@
   BOOST_TEST(directory.Keeps("a"));
 }
 
-// Owners of the keys of a third of all reads turned every request away with free slots for nine
-// seconds, and kept their keys: 0.044 of the requests were refused on such a day, and 0.012 with
-// the keys moved.
+// Guards against owners that reject every request with free slots and keep their keys. With the
+// owners of a third of all reads doing so for nine seconds, 0.044 of the requests were refused;
+// 0.012 with the keys moved.
 struct DecliningOwners {
   explicit DecliningOwners(int count) : directory(CoordinatorSettings{}) {
     for (int i = 0; i < count; ++i) {
@@ -98,20 +98,20 @@
   std::vector<catalog::Backend> backends;
 };
 
-BOOST_AUTO_TEST_CASE(an_owner_that_declines_with_free_slots_gives_its_keys_up) {
+BOOST_AUTO_TEST_CASE(an_owner_that_declines_with_free_slots_loses_its_keys) {
   DecliningOwners owners(6);
   BOOST_TEST(!owners.Decline("b-0"));
   BOOST_TEST(owners.Keeps("b-0"));
   BOOST_TEST(owners.Decline("b-0"));
   BOOST_TEST(!owners.Keeps("b-0"));
   BOOST_TEST(owners.Keeps("b-1"));
-  // Told once.
+  // Reported only once.
   BOOST_TEST(!owners.Decline("b-0"));
   owners.now += absl::Seconds(5);
   BOOST_TEST(owners.Keeps("b-0"));
 }
 
-BOOST_AUTO_TEST_CASE(one_that_goes_on_declining_is_left_alone_for_longer) {
+BOOST_AUTO_TEST_CASE(repeated_declines_double_the_avoidance_time) {
   DecliningOwners owners(6);
   owners.Decline("b-0");
   owners.Decline("b-0");
@@ -124,7 +124,7 @@
   BOOST_TEST(owners.Keeps("b-0"));
 }
 
-BOOST_AUTO_TEST_CASE(one_that_serves_most_of_what_it_gets_keeps_its_keys) {
+BOOST_AUTO_TEST_CASE(an_owner_that_serves_most_requests_keeps_its_keys) {
   DecliningOwners owners(6);
   owners.directory.RecordServed("b-0", 40, owners.now);
   for (int i = 0; i < 5; ++i) {
@@ -133,8 +133,8 @@
   BOOST_TEST(owners.Keeps("b-0"));
 }
 
-// Where most of a service decline, moving keys only moves the trouble.
-BOOST_AUTO_TEST_CASE(a_third_of_a_service_gives_keys_up_at_most) {
+// If most back ends of a service decline, moving keys only moves the overload.
+BOOST_AUTO_TEST_CASE(at_most_a_third_of_a_service_loses_keys) {
   DecliningOwners owners(6);
   for (const char* id : {"b-0", "b-1"}) {
     owners.Decline(id);
--- a/tests/unit/ownership/key_map.h
+++ b/tests/unit/ownership/key_map.h
@@ -1,4 +1,4 @@
-// A value for every key, kept as ranges.
+// A map from every key to a value, stored as ranges.
 #pragma once
 
 #include <algorithm>
@@ -16,7 +16,7 @@
 
   const Value& At(Key key) const { return std::prev(starts_.upper_bound(key))->second; }
 
-  /// Calls `change(Value&)` for every stretch of keys in `range`, cut at its ends.
+  /// Calls `change(Value&)` for every stored range in `range`, splitting ranges at its ends.
   template <typename Change>
   void Update(const KeyRange& range, Change change) {
     Cut(range.first);
@@ -27,7 +27,8 @@
     }
   }
 
-  /// Calls `visit(KeyRange, const Value&)` for every stretch that shares keys with `range`.
+  /// Calls `visit(KeyRange, const Value&)` for every stored range that overlaps `range`, clipped to
+  /// it.
   template <typename Visit>
   void ForEach(const KeyRange& range, Visit visit) const {
     for (auto it = std::prev(starts_.upper_bound(range.first));
--- a/tests/unit/ownership/ownership_test.cc
+++ b/tests/unit/ownership/ownership_test.cc
@@ -22,7 +22,7 @@
   Harness node;
 };
 
-BOOST_AUTO_TEST_CASE(AnAssignedRangeCutsWhatItOverlapsAndJoinsItsLike) {
+BOOST_AUTO_TEST_CASE(AssignSplitsOverlappingRangesAndMergesEqualOnes) {
   const Assignments before = {{{0, 99}, "a", 1}, {{100, kLastKey}, "b", 2}};
   AssignmentTable table(before);
   table.Assign({50, 149}, "b", 2);
@@ -34,7 +34,7 @@
   BOOST_TEST((FindAssignment({}, 0) == nullptr));
 }
 
-BOOST_AUTO_TEST_CASE(ARangeIsAssignedAtBothEndsOfAllKeysAndInTheMiddle) {
+BOOST_AUTO_TEST_CASE(AssignWorksAtBothEndsOfTheKeySpaceAndInTheMiddle) {
   AssignmentTable table;
   table.Assign({0, 0}, "c", 3);
   table.Assign({kLastKey, kLastKey}, "c", 4);
@@ -85,7 +85,7 @@
   }
 }
 
-/// Back ends that register one after the other for 3.6 s.
+/// Back ends that are registered one after the other over 3.6 s.
 struct Arrival {
   Arrival() : node(&store, 1, 1, kStart) {
     for (int i = 0; i < 12; ++i) {
@@ -99,13 +99,13 @@
   std::vector<std::string> ids;
 };
 
-BOOST_FIXTURE_TEST_CASE(KeysThatNobodyAsksForWaitForAllBackEnds, Arrival) {
+BOOST_FIXTURE_TEST_CASE(PartitioningWithoutRequestsWaitsForRegistrationsToSettle, Arrival) {
   BOOST_TEST(!node.Believed(belief::kServicePartitioned));
   node.Run(node.settings.registration_settle);
   BOOST_TEST(node.Believed(belief::kServicePartitioned));
 }
 
-BOOST_FIXTURE_TEST_CASE(KeysThatAreAskedForWaitNoLonger, Arrival) {
+BOOST_FIXTURE_TEST_CASE(RequestedKeysArePartitionedAtOnce, Arrival) {
   node.coordinator.OnLoad(Harness::kService, {{7, 1}}, {}, node.now);
   node.coordinator.OnTick(node.now);
   node.Drain();
@@ -135,7 +135,7 @@
   BOOST_TEST(node.OwnerOf(150) == "b");
 }
 
-BOOST_AUTO_TEST_CASE(KeysMoveUntilTheNewOwnerConfirms) {
+BOOST_AUTO_TEST_CASE(KeysAreListedAsMovingUntilTheNewOwnerConfirms) {
   Holding holding({"a", "b"});
   Harness& node = holding.node;
   node.silent.insert("b");
@@ -149,7 +149,7 @@
   BOOST_TEST(!node.IsMoving(150));
 }
 
-BOOST_AUTO_TEST_CASE(ASilentOwnerIsWaitedOutAndToldOnAfterwards) {
+BOOST_AUTO_TEST_CASE(KeysOfAnUnresponsiveOwnerMoveAfterItsHoldAndReleasesGoOn) {
   Holding holding({"a", "b"});
   Harness& node = holding.node;
   node.silent.insert("a");
@@ -183,7 +183,7 @@
   BOOST_TEST(node.OwnerOf(0) == "b");
 }
 
-BOOST_AUTO_TEST_CASE(KeysOfASilentOwnerStayUntilNoNodeUsesAnOlderMap) {
+BOOST_AUTO_TEST_CASE(KeysOfAnUnresponsiveOwnerStayUntilNoNodeUsesAnOlderMap) {
   CoordinatorSettings settings;
   settings.hold = absl::Milliseconds(800);
   settings.hold_renewal = absl::Milliseconds(300);
@@ -229,12 +229,13 @@
   BOOST_TEST(node.releases.empty());
   BOOST_TEST(!node.IsMoving(0));
   BOOST_TEST(node.Believed(belief::kMovesPutOff));
-  // Keys of an owner that leaves have nothing to lose.
+  // Keys of a deregistered owner are moved all the same, because the move cannot make them less
+  // available.
   node.Register({"b"});
   partition::Script().next = {{{0, 99}, "b"}};
   node.Run(absl::Milliseconds(500));
   BOOST_TEST(!node.releases.empty());
-  // With an answering store planned moves go on.
+  // Planned moves continue while the store answers.
   Holding sound({"a", "b"});
   partition::Script().next = {{{0, 99}, "b"}};
   sound.node.Run(absl::Milliseconds(500));
@@ -252,7 +253,7 @@
   BOOST_TEST(node.releases.empty());
 }
 
-BOOST_AUTO_TEST_CASE(ANewerOneAtItsAddressProvesThatAnOwnerEnded) {
+BOOST_AUTO_TEST_CASE(ANewerBackEndAtItsAddressProvesThatAnOwnerEnded) {
   Holding holding({"a.1", "b"});
   Harness& node = holding.node;
   node.silent.insert("a.1");
@@ -262,7 +263,7 @@
   BOOST_TEST(node.releases.empty());
 }
 
-BOOST_AUTO_TEST_CASE(AVanishedOwnerIsReleasedAndNotRenewed) {
+BOOST_AUTO_TEST_CASE(ADeregisteredOwnerIsReleasedAndNotRenewed) {
   Holding holding({"a", "b"});
   Harness& node = holding.node;
   node.silent.insert("a");
@@ -300,7 +301,7 @@
   BOOST_TEST(!node.IsMoving(0));
 }
 
-BOOST_AUTO_TEST_CASE(ADenialRenewsAtOnceButNotAtEachDenial) {
+BOOST_AUTO_TEST_CASE(AnOwnerDenialRenewsAtOnceButRepeatedOnesDoNot) {
   Holding holding({"a"});
   Harness& node = holding.node;
   node.Run(absl::Milliseconds(100));
@@ -315,7 +316,7 @@
   BOOST_TEST((granted.front().at == denied));
 }
 
-BOOST_AUTO_TEST_CASE(ACommitWhoseAnswerIsLostIsFoundDone) {
+BOOST_AUTO_TEST_CASE(ACommitWithALostAnswerIsFoundApplied) {
   Holding holding({"a", "b"});
   Harness& node = holding.node;
   partition::Script().next = {{{100, 199}, "b"}};
@@ -349,7 +350,7 @@
   BOOST_TEST(back->sent.fence > released);
 }
 
-BOOST_AUTO_TEST_CASE(AReleaseWaitsForTheRenewalUnderWay) {
+BOOST_AUTO_TEST_CASE(AReleaseWaitsForAnOpenRenewal) {
   Holding holding({"a", "b"});
   Harness& node = holding.node;
   node.silent.insert("a");
@@ -369,7 +370,7 @@
   BOOST_TEST(node.releases.size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(AFencedOrderForAWholeRangeDoesNotFenceWhatIsLeftOfIt) {
+BOOST_AUTO_TEST_CASE(AFencedOrderForAFullRangeDoesNotFenceTheRemainderOfIt) {
   Holding holding({"a", "b"});
   Harness& node = holding.node;
   node.silent.insert("a");
@@ -386,7 +387,7 @@
   BOOST_TEST(!node.IsMoving(99));
 }
 
-BOOST_AUTO_TEST_CASE(ATargetThatIsGoneWhenItsKeysAreCommittedIsNotGrantedThem) {
+BOOST_AUTO_TEST_CASE(ADeregisteredTargetIsNotGrantedCommittedKeys) {
   Holding holding({"a", "b", "c"});
   Harness& node = holding.node;
   partition::Script().next = {{{100, 199}, "b"}};
@@ -414,7 +415,7 @@
   BOOST_TEST(!node.IsMoving(150));
 }
 
-BOOST_AUTO_TEST_CASE(ABackEndGetsTwoOrdersAtOnceAtMost) {
+BOOST_AUTO_TEST_CASE(ABackEndHasAtMostTwoOpenOrders) {
   Holding holding({"a", "b"});
   Harness& node = holding.node;
   node.silent.insert("a");
@@ -425,7 +426,7 @@
   BOOST_TEST(node.releases.size() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(APauseOfThisProcessIsNoSilenceOfAnOwner) {
+BOOST_AUTO_TEST_CASE(APauseOfThisProcessDoesNotMakeAnOwnerUnresponsive) {
   CoordinatorSettings settings;
   settings.lease = absl::Seconds(60);
   settings.lease_renewal = absl::Seconds(20);
@@ -445,7 +446,7 @@
   while (unanswered() < 2) {
     node.Run(absl::Milliseconds(1));
   }
-  // Both orders to it are unanswered when this process pauses.
+  // Both orders to the back end are unanswered when this process pauses.
   node.now += absl::Seconds(5);
   node.Run(absl::Milliseconds(300));
   node.silent.clear();
@@ -453,7 +454,7 @@
   BOOST_TEST(!node.Believed(belief::kOwnerSilent));
 }
 
-BOOST_AUTO_TEST_CASE(NeighboursOfOneOwnerGetOneFenceWhenAllIsCalm) {
+BOOST_AUTO_TEST_CASE(AdjacentRangesOfOneOwnerGetOneFenceWhenSettled) {
   Holding holding({"a", "b"});
   Harness& node = holding.node;
   partition::Script().next = {{{30000, 32767}, "b"}};
--- a/tests/unit/ownership/range_table_test.cc
+++ b/tests/unit/ownership/range_table_test.cc
@@ -1,6 +1,7 @@
-// A coordinator of 4,272 owners on half a core was busy all of the time and lost its lease twice in
-// six seconds, its longest turn 763 ms: each answer of a back end and each step walked all ranges
-// a dozen times (a profile named OnGrantDone, ServiceWake, MergeAdjacent and HasReadyChanges).
+// Guards against coordinator steps whose cost grows with the number of ranges. With 4,272 owners on
+// half a core, each answer and each step scanned all ranges a dozen times; the coordinator was
+// always busy, one step took 763 ms, and it lost its lease twice in six seconds. A profile named
+// OnGrantDone, ServiceWake, MergeAdjacent and HasReadyChanges.
 #include "core/ownership/range_table.h"
 
 #include <boost/test/unit_test.hpp>
@@ -31,7 +32,7 @@
     table.MergeAdjacent();
     table.Busy();
   }
-  /// Gives how many ranges were indexed anew.
+  /// Returns how many ranges were indexed again.
   template <typename Work>
   uint64_t Count(const Work& work) {
     const uint64_t before = table.indexed();
@@ -45,7 +46,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(range_table_test, LargeTable)
 
-BOOST_AUTO_TEST_CASE(AStepWithoutWorkLooksAtNoRange) {
+BOOST_AUTO_TEST_CASE(AStepWithoutWorkIndexesNoRange) {
   BOOST_TEST(Count([&] {
                table.MergeAdjacent();
                BOOST_TEST(table.Busy().empty());
@@ -54,7 +55,7 @@
              }) == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(AnAnsweredOrderCostsItsOwnRange) {
+BOOST_AUTO_TEST_CASE(AnAnsweredOrderIndexesOnlyItsRange) {
   BOOST_TEST(Count([&] {
                for (RangeState* state : table.Overlapping({160, 175})) {
                  state->last_grant = kStart + absl::Seconds(1);
@@ -63,7 +64,7 @@
              }) <= 3U);
 }
 
-BOOST_AUTO_TEST_CASE(DueOrdersComeInOrderOfTheirTimes) {
+BOOST_AUTO_TEST_CASE(DueOrdersAreSortedByTime) {
   const std::vector<const RangeState*> due =
       table.Due(kStart + absl::Milliseconds(2 * kKeysOfRange));
   BOOST_REQUIRE(due.size() == 3U);
@@ -74,7 +75,7 @@
   BOOST_TEST(table.Due(kStart).empty());
 }
 
-BOOST_AUTO_TEST_CASE(WhatIsUnderWayIsFoundAndLeavesWhenItIsDone) {
+BOOST_AUTO_TEST_CASE(RangesInTransitionAreListedUntilTheyAreSettled) {
   table.At(100).phase = RangePhase::kReleasing;
   table.At(200).confirmed = false;
   BOOST_REQUIRE(table.Busy().size() == 1U);
@@ -87,7 +88,7 @@
   BOOST_TEST(table.Unconfirmed().empty());
 }
 
-BOOST_AUTO_TEST_CASE(RangesThatAreCutAndJoinedAreFoundAsOne) {
+BOOST_AUTO_TEST_CASE(RangesThatAreSplitAndMergedAreIndexedAsOne) {
   table.SplitAt(8);
   BOOST_TEST(table.size() == kRanges + 1);
   BOOST_TEST(table.At(7).range.last == 7U);
@@ -102,7 +103,7 @@
   BOOST_TEST(table.At(8).range.last == kKeysOfRange - 1);
 }
 
-BOOST_AUTO_TEST_CASE(ARangeIsCutBehindAKeyWhateverItsPhase) {
+BOOST_AUTO_TEST_CASE(CutAfterSplitsARangeInAnyPhase) {
   table.At(0).phase = RangePhase::kCommitting;
   table.At(0).next_fence = 7;
   table.SplitAt(8);
--- a/tests/unit/ownership/scripted_partitioner.h
+++ b/tests/unit/ownership/scripted_partitioner.h
@@ -1,4 +1,4 @@
-// A partitioner that does as the test says; linked in place of the real one.
+// A scripted partitioner for tests, linked in place of the real one.
 #pragma once
 
 #include <cstdint>
@@ -9,14 +9,14 @@
 namespace ladderstream::partition {
 
 struct PartitionerScript {
-  /// Proposed at the next question, then cleared.
+  /// Moves returned by the next call of Propose(), then cleared.
   std::vector<ProposedMove> next;
-  /// Out of 100 questions, how many are answered with a move of random keys.
+  /// Percentage of Propose() calls that also move a random key range.
   uint32_t random_moves_percent = 0;
   uint64_t random_state = 1;
 };
 
-/// The script in force for all partitioners of the process.
+/// Returns the script used by all partitioners of the process.
 PartitionerScript& Script();
 
 }  // namespace ladderstream::partition
--- a/tests/unit/ownership/service_rows_test.cc
+++ b/tests/unit/ownership/service_rows_test.cc
@@ -1,7 +1,8 @@
-// With 295 nodes and 3,000 back ends, 1,281 of them owners, no request for a key was served, and no
-// grant was ever sent. A service's whole assignment was one row, which a store takes up to 64 KB
-// of, and the coordinator sent the same transaction again for ever: "store_write_failed refused:
-// status 400 ... a table, key, version or value is missing or too long", six epochs in 27 s.
+// Guards against service rows that exceed the store's row size. A service's full assignment was
+// once a single row, of which the store accepts up to 64 KB. With 295 nodes and 3,000 back ends,
+// 1,281 of them owners, the store refused the transaction (status 400) and the coordinator repeated
+// it without end: no grant was sent, no request for a key was served, and it went through six
+// epochs in 27 s.
 #include "core/ownership/service_rows.h"
 
 #include <absl/strings/str_cat.h>
@@ -32,7 +33,7 @@
   return names;
 }
 
-/// All keys, divided among so many owners.
+/// All keys, divided evenly among `owners`.
 Assignments Divided(size_t owners) {
   Assignments assignments;
   const size_t keys = kLastKey + 1;
@@ -52,7 +53,7 @@
   return longest;
 }
 
-/// All that a transaction holds but the lease, which each one writes anew.
+/// Returns the transaction's content without the lease row, which every transaction rewrites.
 std::string ContentOf(const store::Transaction& transaction) {
   std::string content;
   for (size_t i = 0; i < transaction.puts.size(); ++i) {
@@ -63,13 +64,13 @@
   return content;
 }
 
-/// One service whose rows are written as a coordinator would, without a store.
+/// Writes the rows of one service as a coordinator does, without a store.
 struct Written {
   ServiceRows service{"boards"};
   AssignmentTable committed;
   std::map<std::string, std::string> rows;
 
-  /// Gives how many rows were written.
+  /// Returns how many rows were written.
   size_t Commit(const Assignments& changes) {
     std::map<std::string, std::string> written;
     service.Encode(
@@ -109,7 +110,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(AFewOwnersTakeOneRowInTheEarlierForm) {
+BOOST_AUTO_TEST_CASE(AFewOwnersFitIntoOneHeadRow) {
   Written written;
   written.Commit(Divided(14));
   BOOST_TEST(written.rows.size() == 1U);
@@ -117,13 +118,13 @@
   BOOST_TEST((row.assignments == Divided(14)));
 }
 
-BOOST_AUTO_TEST_CASE(AReaderOfTheEarlierFormTakesNoSegmentListForAnAssignment) {
+BOOST_AUTO_TEST_CASE(ASegmentListIsNotDecodedAsAnAssignment) {
   Written written;
   written.Commit(Divided(kOwners));
   BOOST_CHECK_THROW(DecodeServiceRow(written.rows.at(ServiceRowKey("boards"))), Error);
 }
 
-BOOST_AUTO_TEST_CASE(AMoveAmongThousandsOfOwnersWritesTheRowsThatItTouches) {
+BOOST_AUTO_TEST_CASE(AMoveAmongThousandsOfOwnersWritesOnlyAffectedRows) {
   Written written;
   written.Commit(Divided(kOwners));
   BOOST_TEST(written.Commit({{{30000, 30003}, "i-new", FenceOf(8, 1)}}) == 1U);
@@ -132,7 +133,7 @@
   BOOST_TEST((stored.row.assignments == written.committed.Slice({0, kLastKey})));
 }
 
-BOOST_AUTO_TEST_CASE(KeysOfARowThatIsMissingAreUnreadableAndNoOthers) {
+BOOST_AUTO_TEST_CASE(OnlyKeysOfAMissingRowAreUnreadable) {
   Written written;
   written.Commit(Divided(kOwners));
   const std::vector<Key> firsts = written.Read().segment_firsts;
@@ -159,7 +160,7 @@
   }
   BOOST_TEST(granted.size() == kOwners);
 
-  // A successor reads what was written.
+  // A successor reads the rows that were written.
   Harness successor(&store, 2, 2, node.now + absl::Seconds(20));
   successor.Register(OwnerNames(kOwners));
   successor.Run(absl::Seconds(20));
@@ -167,8 +168,8 @@
               node.coordinator.Map().services.at(Harness::kService).assignments));
 }
 
-BOOST_AUTO_TEST_CASE(ARefusedTransactionIsNeverSentAgainAsItIs) {
-  // This store takes rows of 200 bytes, less than any limit that the coordinator knows of.
+BOOST_AUTO_TEST_CASE(ARefusedTransactionIsNotRepeatedUnchanged) {
+  // This store accepts rows of up to 200 bytes, less than any limit that the coordinator knows.
   ModelStore store;
   store.SetBounds({.row_bytes = 200});
   Harness node(&store, 1, 1, kStart);
@@ -186,7 +187,7 @@
   BOOST_TEST(node.coordinator.Holds(node.now));
 }
 
-BOOST_AUTO_TEST_CASE(AStoreOfShorterRowsIsMetWithShorterRows) {
+BOOST_AUTO_TEST_CASE(RowsAreShortenedToTheRowLimitOfTheStore) {
   ModelStore store;
   store.SetBounds({.row_bytes = 2000});
   Harness node(&store, 1, 1, kStart);
@@ -197,7 +198,7 @@
   BOOST_TEST(node.OwnerOf(kLastKey) == OwnerName(99));
 }
 
-BOOST_AUTO_TEST_CASE(OnlyKeysWhoseRowIsLostWaitForTheirHoldsToEnd) {
+BOOST_AUTO_TEST_CASE(OnlyKeysOfALostRowWaitForTheirHoldsToExpire) {
   ModelStore store;
   Harness node(&store, 1, 1, kStart);
   node.Settle(OwnerNames(kOwners));
