--- a/tests/unit/ownership/model_backend.cc
+++ b/tests/unit/ownership/model_backend.cc
@@ -5,7 +5,7 @@
 namespace ladderstream::ownership {
 namespace {
 
-/// Its clock runs this much slow.
+/// Factor by which the back end's clock runs slow.
 constexpr double kSlowClock = 1.02;
 
 }  // namespace
--- a/tests/unit/ownership/model_backend.h
+++ b/tests/unit/ownership/model_backend.h
@@ -1,5 +1,5 @@
-// One incarnation of a back end as the model sees it: what it holds, until when, and which fences
-// it has seen.
+// One incarnation of a back end in the model: its holds, their expiry, and the fences that it has
+// seen.
 #pragma once
 
 #include <map>
@@ -14,10 +14,10 @@
 struct HeldKeys {
   Fence seen = 0;
   Fence fence = 0;
-  /// Since when without a break, and until when; past means not held.
+  /// Start and end of the uninterrupted hold; not held if `until` is in the past.
   Time since = absl::InfinitePast();
   Time until = absl::InfinitePast();
-  /// The same, had no grant been taken late.
+  /// `until` as it would be without grants that were received late.
   Time timely_until = absl::InfinitePast();
 
   bool HeldAt(Time now) const { return now < until; }
@@ -30,17 +30,17 @@
   Endpoint address;
   bool up = true;
   bool draining = false;
-  /// Of kZones; given in turn.
+  /// One of kZones, assigned in turn.
   std::string zone;
   Time cold_until = absl::InfinitePast();
-  /// Registered with the platform, as far as the platform knows.
+  /// Whether the platform lists the back end as registered.
   bool listed = true;
   Time frozen_until = absl::InfinitePast();
-  /// Takes orders late and leaves them unanswered, until then.
+  /// Until then, orders are received late and their answers are lost.
   Time late_until = absl::InfinitePast();
-  /// Takes orders at once and leaves them unanswered, until then.
+  /// Until then, orders are received in time and their answers are lost.
   Time answers_lost_until = absl::InfinitePast();
-  /// No order reaches it, until then; from all nodes, and from single ones by their index.
+  /// Until then, no order arrives: from any node, and from single nodes by index.
   Time cut_until = absl::InfinitePast();
   std::map<size_t, Time> cut_from_until;
 
@@ -48,11 +48,11 @@
     const auto single = cut_from_until.find(node);
     return now < cut_until || (single != cut_from_until.end() && now < single->second);
   }
-  /// Work that runs when keys are released.
+  /// Duration of the work still running when keys are released.
   Duration work;
-  /// A release under a lower fence than that of the grant still ends the grant.
+  /// Whether a release under a lower fence than that of the grant still ends the grant.
   bool accepts_old_releases = false;
-  /// A renewal with a shorter hold does not shorten the one before it.
+  /// Whether a renewal with a shorter hold leaves the end of the previous hold unchanged.
   bool keeps_longest_hold = false;
 
   OrderStatus Grant(const KeyRange& range, Fence fence, Duration hold, bool late, Time now);
--- a/tests/unit/ownership/model_faults.cc
+++ b/tests/unit/ownership/model_faults.cc
@@ -1,4 +1,4 @@
-// What goes wrong in the model, and back ends that come and go.
+// Faults of the model, and back ends that start and end.
 #include <absl/strings/str_cat.h>
 
 #include <algorithm>
@@ -8,16 +8,16 @@
 namespace ladderstream::ownership {
 namespace {
 
-/// A registration lapses this long after its back end's last write.
+/// Time from a back end's last write until its registration expires.
 constexpr Duration kExpiry = absl::Seconds(4);
-/// A draining back end serves for this long.
+/// How long a draining back end goes on serving.
 constexpr Duration kDrainTime = absl::Milliseconds(2500);
-/// Long enough for a successor to take over and to wait the back end out.
+/// Long enough for a successor to take over and for the back end's holds to expire.
 constexpr Duration kIsolation = absl::Seconds(13);
 constexpr Duration kLastGrants = absl::Milliseconds(1500);
 constexpr size_t kMinBackends = 2;
 constexpr const char* kZones[] = {"east", "west"};
-/// A back end is cold for so long from a start, but for those that start with the world.
+/// Length of the cold phase after a start; back ends that start with the model are warm.
 constexpr Duration kCold = absl::Seconds(3);
 const Time kWarmStart = absl::UnixEpoch() + absl::Seconds(1);
 
@@ -54,7 +54,7 @@
   } else {
     After(kExpiry, unlist);
   }
-  // A successor at the same or at another address; sometimes none.
+  // A successor at the same or another address, or none.
   const bool must = CountUp(backend->service) < kMinBackends;
   if (must || Chance(80)) {
     const bool same = Chance(60);
@@ -129,7 +129,8 @@
       continue;
     }
     const size_t index = Draw(nodes_.size());
-    Trace(absl::StrCat("node ", index, " is told that node ", holder.index, " has ended"));
+    Trace(absl::StrCat("node ", index, " receives a false report that node ", holder.index,
+                       " has ended"));
     ToNode(index, nodes_[index].incarnation, [this, index, ended = holder.incarnation] {
       nodes_[index].coordinator->OnCoordinatorEnded(ended, now_);
     });
@@ -156,7 +157,7 @@
 }
 
 void ModelWorld::NodeFault() {
-  // The holder is hit more often.
+  // The lease holder is chosen more often.
   size_t index = Draw(nodes_.size());
   for (const ModelNode& node : nodes_) {
     if (node.coordinator && node.coordinator->Holds(now_) && Chance(60)) {
@@ -235,7 +236,8 @@
       }
       break;
     case 2:
-      // Cut off from the platform only: its registration lapses, and it serves on.
+      // Disconnected from the platform only: the registration expires while the back end still
+      // serves.
       if (CountUp(backend->service) > kMinBackends) {
         backend->listed = false;
         PublishCatalogToAll();
@@ -257,7 +259,7 @@
       backend->answers_lost_until = until;
       break;
     case 6:
-      // Its last grants arrive when another owns its keys, while some node has an old map.
+      // Its last grants arrive when another back end owns its keys and some node uses an old map.
       backend->late_until = now_ + kLastGrants;
       At(backend->late_until, [this, id] {
         if (ModelBackend* late = BackendWithId(id)) {
@@ -267,7 +269,7 @@
       nodes_[Draw(nodes_.size())].peers_cut_until = std::min(faults_end_, now_ + kIsolation);
       break;
     case 7:
-      // Out of reach of the nodes but one, which may be the holder or its successor.
+      // Unreachable from all nodes but one, which may be the lease holder or its successor.
       for (size_t i = 0; i < nodes_.size(); ++i) {
         backend->cut_from_until[i] = until;
       }
@@ -292,7 +294,7 @@
       store_slow_until_ = until;
       break;
     case 3:
-      // Away for all; what was sent meanwhile may be done when it is back.
+      // Unreachable for all nodes. Calls sent meanwhile may be executed afterwards.
       store_down_until_ = until;
       store_keeps_until_ = until;
       break;
@@ -302,7 +304,7 @@
       }
       break;
     case 5:
-      // Away for all, and the holder does not live to see it back.
+      // Unreachable for all nodes, and the lease holder ends before the store returns.
       store_down_until_ = until;
       for (const ModelNode& node : nodes_) {
         if (node.coordinator && node.coordinator->Holds(now_)) {
--- a/tests/unit/ownership/model_invariants.cc
+++ b/tests/unit/ownership/model_invariants.cc
@@ -1,4 +1,4 @@
-// What must hold at every moment, and at the end.
+// Invariants checked at every event, and conditions checked at the end.
 #include <absl/strings/str_cat.h>
 
 #include "core/ownership/assignments.h"
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr Duration kRequestInterval = absl::Milliseconds(15);
-/// Each request stands for this many of the load that partitioning sees.
+/// Load per request that is reported to the partitioner.
 constexpr double kLoadOfRequest = 5;
 
 std::string Describe(const KeyRange& range) { return absl::StrCat(range.first, "-", range.last); }
@@ -105,7 +105,8 @@
     }
   }
   ReportViolation(absl::StrCat("node ", node.index, " grants ", Describe(grant.range), " to ",
-                               grant.backend, " under fence ", grant.fence, ", never committed"));
+                               grant.backend, " under fence ", grant.fence,
+                               ", which was never committed"));
 }
 
 void ModelWorld::CheckHolds(const ModelBackend& backend, const KeyRange& range) {
@@ -141,7 +142,7 @@
     const Fence others = highest.owner == backend.id ? highest.others : highest.fence;
     if (fence <= others) {
       ReportViolation(absl::StrCat(backend.id, " takes ", Describe(range), " under fence ", fence,
-                                   " after another held it under ", others));
+                                   " after another back end held it under fence ", others));
     }
     if (highest.owner != backend.id) {
       highest.others = std::max(highest.others, highest.fence);
@@ -164,7 +165,8 @@
     for (const Assignment& assignment : now_committed) {
       committed_.insert({service, assignment.fence, assignment.owner});
     }
-    // Fences of committed owners only rise, and every key keeps having an owner.
+    // Fences of committed owners only rise, and a key never loses its owner without getting
+    // another.
     KeyMap<std::pair<Fence, std::string>>& before = committed_before_[service];
     for (const Assignment& assignment : now_committed) {
       before.Update(assignment.range, [&](std::pair<Fence, std::string>& key) {
@@ -212,7 +214,7 @@
 std::string ModelWorld::CheckSettled() {
   for (const ModelNode& node : nodes_) {
     if (!node.coordinator || now_ >= node.map_until || !node.map) {
-      return absl::StrCat("at rest, node ", node.index, " has no confirmed map");
+      return absl::StrCat("after the faults ended, node ", node.index, " has no confirmed map");
     }
     for (const std::string& service : services_) {
       std::string unserved;
@@ -221,8 +223,8 @@
             unserved = is_seen ? unserved : Describe(keys);
           });
       if (!unserved.empty()) {
-        return absl::StrCat("at rest, node ", node.index, " never saw ", unserved, " of ", service,
-                            " served");
+        return absl::StrCat("after the faults ended, node ", node.index, " never found ", unserved,
+                            " of ", service, " served");
       }
     }
   }
--- a/tests/unit/ownership/model_main.cc
+++ b/tests/unit/ownership/model_main.cc
@@ -1,7 +1,8 @@
-// Runs the model of ownership for a range of seeds and tells the first violation of each.
+// Runs the ownership model for a range of seeds and reports the first violation of each.
 //
-// Arguments: COUNT [FIRST [segments]], else as many seeds as continuous integration runs. With
-// "segments", rows are so short that each service takes several, and a commit takes few of them.
+// Arguments: COUNT [FIRST [segments]]; by default, the seeds that continuous integration runs. With
+// "segments", row and commit limits are so small that each service takes several rows and a commit
+// writes only a few of them.
 #include <cstdint>
 #include <cstdlib>
 #include <iostream>
--- a/tests/unit/ownership/model_nodes.cc
+++ b/tests/unit/ownership/model_nodes.cc
@@ -1,4 +1,4 @@
-// Nodes, and the network between them, the store and the back ends.
+// Nodes, and the network between nodes, store and back ends.
 #include <absl/strings/str_cat.h>
 
 #include <utility>
@@ -10,9 +10,9 @@
 namespace {
 
 constexpr Duration kHeartbeatInterval = absl::Milliseconds(250);
-/// An order that arrives later than this after its send is a late one.
+/// An order that arrives later than this after its send time is late.
 constexpr Duration kLateOrder = absl::Milliseconds(300);
-/// The process pauses once in so many actions.
+/// Average number of actions between pauses of a process.
 constexpr uint64_t kActionsPerPause = 400;
 
 template <typename... Visitors>
@@ -69,7 +69,7 @@
   if (!node.coordinator || node.stopping) {
     return;
   }
-  Trace(absl::StrCat("node ", index, " is to stop"));
+  Trace(absl::StrCat("node ", index, " begins to stop"));
   node.stopping = true;
   const uint64_t incarnation = node.incarnation;
   ToNode(index, incarnation, [this, index] { nodes_[index].coordinator->Resign(now_); });
@@ -98,8 +98,8 @@
   if (!node.coordinator || now_ < node.frozen_until) {
     return;
   }
-  Trace(absl::StrCat("node ", index, " thaws"));
-  // The turn that was interrupted ends first.
+  Trace(absl::StrCat("node ", index, " resumes"));
+  // Actions of the interrupted step are performed first.
   PerformAll(node, std::exchange(node.unsent, {}), node.decided);
   if (now_ >= node.frozen_until && Chance(50)) {
     node.coordinator->OnTick(now_);
@@ -250,7 +250,7 @@
   Duration there = slow ? DrawMs(50, 900) : DrawMs(1, 8);
   const bool lost = Chance(loses ? 50 : 1);
   if (lost && Chance(30)) {
-    return;  // Never arrives.
+    return;  // The call is lost.
   }
   if (lost && Chance(50)) {
     there = DrawMs(100, 6000);
@@ -312,7 +312,7 @@
       return;
     }
     if (now_ < taker->frozen_until) {
-      return;  // Frozen anew; lost for good.
+      return;  // Frozen again; the order is lost.
     }
     const OrderReply reply = work(*taker, now_ - decided > kLateOrder);
     Duration delay = DrawMs(1, 6);
--- a/tests/unit/ownership/model_store.h
+++ b/tests/unit/ownership/model_store.h
@@ -1,5 +1,5 @@
-// A metadata store as the model sees it: linearizable, with conditional transactions and the bounds
-// that the platform states. Delays, losses and refusals are the network's (see model_world.h).
+// The model's metadata store: linearizable, with conditional transactions and the limits that the
+// platform states. Delays, losses and refusals are modelled by the network (see model_world.h).
 #pragma once
 
 #include <map>
@@ -14,12 +14,12 @@
  public:
   store::StoreReply Apply(const store::Transaction& transaction);
   store::StoreReply Read(const store::ReadQuery& query) const;
-  /// Somebody else wrote something else.
+  /// A write by another client to other rows.
   void WriteElsewhere() { ++version_; }
-  /// Answers of transactions tell a version that is `error` too high.
+  /// Transaction replies report a version that is `error` too high.
   void SetVersionError(store::RowVersion error) { version_error_ = error; }
   void SetBounds(const store::StoreBounds& bounds) { bounds_ = bounds; }
-  /// Somebody else removed a row.
+  /// A removal of a row by another client.
   void Remove(const store::RowKey& key) { rows_.erase(key); }
   const std::map<store::RowKey, store::Row>& rows() const { return rows_; }
 
--- a/tests/unit/ownership/model_world.cc
+++ b/tests/unit/ownership/model_world.cc
@@ -12,7 +12,8 @@
 
 constexpr Duration kFaultDuration = absl::Seconds(25);
 constexpr Duration kRecovery = absl::Seconds(15);
-/// Balance goes on moving keys: in so long before the end, each must be seen held and served.
+/// Balancing continues to move keys, so within this window before the end each key must be found
+/// held and served at least once.
 constexpr Duration kSettledWindow = absl::Seconds(1);
 constexpr Duration kSettledCheckInterval = absl::Milliseconds(100);
 constexpr size_t kTraceLines = 120;
@@ -37,7 +38,7 @@
     settings_.fences_before_new_epoch = 5;
   }
   if (Chance(30)) {
-    // Also shorter than the time for which a map may be used.
+    // May be shorter than the time for which a map stays usable.
     settings_.hold = absl::Milliseconds(1000 + Draw(16) * 500);
     settings_.hold_renewal = std::min(settings_.hold_renewal, settings_.hold / 4);
   }
--- a/tests/unit/ownership/model_world.h
+++ b/tests/unit/ownership/model_world.h
@@ -1,7 +1,7 @@
-// A seeded world of coordinators, a store and back ends, in simulated time.
+// A seeded simulation of coordinators, a store and back ends in simulated time.
 //
-// Every run follows from its seed. Faults strike until kFaultsEnd; then the world is left alone and
-// must come to rest. Invariants are checked as things happen; the first violation ends the run.
+// The seed determines the whole run. Faults are injected until faults_end_; afterwards the system
+// must settle. Invariants are checked at each event, and the first violation ends the run.
 #pragma once
 
 #include <cstdint>
@@ -29,12 +29,12 @@
   Endpoint address;
   /// Null while the process is down.
   std::unique_ptr<Coordinator> coordinator;
-  /// What the coordinator was told.
+  /// The registered back ends last passed to the coordinator.
   catalog::BackendSet registered;
-  /// Frozen until then; what reaches it meanwhile waits in `inbox`.
+  /// End of a pause of the process; events that arrive meanwhile wait in `inbox`.
   Time frozen_until = absl::InfinitePast();
   std::deque<std::function<void()>> inbox;
-  /// Decided at `decided` and not done yet, because the process stood still in between.
+  /// Actions decided at `decided` that a pause of the process kept from being performed.
   std::vector<Action> unsent;
   Time decided;
   Time store_cut_until = absl::InfinitePast();
@@ -42,7 +42,7 @@
   Time backends_cut_until = absl::InfinitePast();
   bool stopping = false;
   Time wake = absl::InfiniteFuture();
-  // Routing.
+  // The map used for routing, and its expiry.
   std::shared_ptr<const OwnershipMap> map;
   Time map_until = absl::InfinitePast();
 };
@@ -55,7 +55,7 @@
   uint64_t commits = 0;
   uint64_t takeovers = 0;
   uint64_t wakes = 0;
-  /// Grants that were taken late, while another held some of their keys.
+  /// Grants that were received late while another back end held some of their keys.
   uint64_t late_overlaps = 0;
 };
 
@@ -64,9 +64,9 @@
   explicit ModelWorld(uint64_t seed, const CommitLimits& commit_limits = {});
   ~ModelWorld();
 
-  /// Gives the first violation; empty when there was none.
+  /// Runs the model. Returns the first violation, or an empty string.
   std::string Run();
-  /// What happened last, a line each.
+  /// Returns the last trace lines.
   std::string TraceTail() const;
   const ModelCounts& counts() const { return counts_; }
 
@@ -81,7 +81,7 @@
     }
   };
 
-  // Chance and time.
+  // Randomness and simulated time.
   uint64_t Draw(uint64_t bound) { return random_() % bound; }
   bool Chance(uint32_t percent) { return Draw(100) < percent; }
   Duration DrawMs(uint64_t least, uint64_t most);
@@ -95,11 +95,11 @@
   void StartNode(size_t index);
   void KillNode(size_t index);
   void StopNode(size_t index);
-  /// Runs `event` at the node, once it is not frozen, if it still is in this incarnation.
+  /// Runs `event` at the node once it is not paused, unless its incarnation has ended.
   void ToNode(size_t index, uint64_t incarnation, Event event);
   void Resume(size_t index);
   void Drain(ModelNode& node);
-  /// Performs what was decided at `decided`, unless the process pauses on the way.
+  /// Performs actions decided at `decided`, unless the process pauses in between.
   void PerformAll(ModelNode& node, std::vector<Action> actions, Time decided);
   void Perform(ModelNode& node, const Action& action, Time decided);
   void PauseBefore(ModelNode& node, std::vector<Action> rest, Time decided);
@@ -113,7 +113,7 @@
   void PublishCatalog(ModelNode& node);
   void PublishCatalogToAll();
   void HeartbeatLoop();
-  /// Tells every node what was asked for since the last time.
+  /// Reports the requests since the last call to every node.
   void PublishLoad();
 
   // Requests and invariants (model_invariants.cc).
@@ -121,11 +121,12 @@
   void StartRequest(ModelBackend& backend, Key key);
   void CheckGrant(const ModelNode& node, const GrantAction& grant, Time decided);
   void CheckHolds(const ModelBackend& backend, const KeyRange& range);
-  /// Counts a late grant if another holds some of its keys; only requests there would be wrong.
+  /// Counts a late grant if another back end holds some of its keys. This is not a violation unless
+  /// both execute requests for the same key.
   void CountLateOverlap(const ModelBackend& backend, const KeyRange& range);
   void CheckFences(const ModelBackend& backend, const KeyRange& range, Fence fence);
   void CheckCommits(const store::Transaction& transaction);
-  /// Notes which keys each node finds held by their owner, and not moving.
+  /// Records for each node which keys are held by their owner and not moving.
   void RecordServedKeys();
   std::string CheckSettled();
   ModelBackend* BackendAt(const Endpoint& address);
@@ -137,15 +138,17 @@
   void FaultLoop();
   void NodeFault();
   void BackendFault();
-  /// A node loses the others and the store, and is the only one that reaches some back end.
+  /// Disconnects a node from the other nodes and the store and leaves it as the only one that
+  /// reaches some back end.
   void Isolate(ModelNode& node);
   void StoreFault();
-  /// The operator empties a zone, and takes that back when its back ends are cold.
+  /// Evacuates a zone and ends the evacuation later, when its back ends are cold.
   void EvacuateZone();
-  /// A node is told that the holder has ended, which is not so.
+  /// Reports to a node, falsely, that the lease holder has ended.
   void ReportFalseEnd();
   std::string RandomBackend();
-  /// A port for a new back end; perhaps one that another, even of another service, has left.
+  /// Returns a port for a new back end, possibly one freed by another back end, also of another
+  /// service.
   uint16_t TakePort();
   size_t CountUp(const std::string& service) const;
 
@@ -161,7 +164,7 @@
   std::vector<std::string> services_;
   ModelStore store_;
   Time store_down_until_ = absl::InfinitePast();
-  /// Calls that were sent while it was down may be done once it is not.
+  /// Calls sent during the outage may be executed after this time.
   Time store_keeps_until_ = absl::InfinitePast();
   Time store_slow_until_ = absl::InfinitePast();
   Time store_loses_until_ = absl::InfinitePast();
@@ -180,7 +183,7 @@
   struct HighestFence {
     Fence fence = 0;
     std::string owner;
-    /// The highest of any other owner.
+    /// The highest fence of any other owner.
     Fence others = 0;
   };
   std::map<std::string, KeyMap<HighestFence>> highest_;
