--- a/tests/unit/ownership/model_faults.cc
+++ b/tests/unit/ownership/model_faults.cc
@@ -45,14 +45,14 @@
   }
   Trace(absl::StrCat("back end ", id, " ends"));
   backend->up = false;
-  const auto unlist = [this, backend] {
+  const auto deregister = [this, backend] {
     backend->listed = false;
     PublishCatalogToAll();
   };
   if (orderly) {
-    unlist();
+    deregister();
   } else {
-    After(kExpiry, unlist);
+    After(kExpiry, deregister);
   }
   // A successor at the same or another address, or none.
   const bool must = CountUp(backend->service) < kMinBackends;
@@ -296,7 +296,7 @@
     case 3:
       // Unreachable for all nodes. Calls sent meanwhile may be executed afterwards.
       store_down_until_ = until;
-      store_keeps_until_ = until;
+      store_executes_late_until_ = until;
       break;
     case 4:
       for (ModelNode& node : nodes_) {
@@ -314,7 +314,7 @@
       }
       break;
     default:
-      store_loses_until_ = until;
+      store_loses_calls_until_ = until;
   }
 }
 
--- a/tests/unit/ownership/model_nodes.cc
+++ b/tests/unit/ownership/model_nodes.cc
@@ -222,7 +222,7 @@
 void ModelWorld::SendToStore(ModelNode& node, CallId call,
                              std::function<store::StoreReply()> work) {
   const bool slow = now_ < store_slow_until_;
-  const bool loses = now_ < store_loses_until_;
+  const bool loses_calls = now_ < store_loses_calls_until_;
   const auto reply_with = [this, index = node.index, incarnation = node.incarnation, call](
                               Duration delay, const store::StoreReply& reply) {
     After(delay, [this, index, incarnation, call, reply] {
@@ -233,8 +233,8 @@
   };
   store::StoreReply refused;
   refused.status = store::StoreStatus::kRefused;
-  if (now_ < store_keeps_until_ && Chance(50)) {
-    At(store_keeps_until_ + DrawMs(0, 1000), work);
+  if (now_ < store_executes_late_until_ && Chance(50)) {
+    At(store_executes_late_until_ + DrawMs(0, 1000), work);
     return;
   }
   if (now_ < node.store_cut_until || now_ < store_down_until_) {
@@ -247,15 +247,15 @@
     reply_with(DrawMs(1, 5), refused);
     return;
   }
-  Duration there = slow ? DrawMs(50, 900) : DrawMs(1, 8);
-  const bool lost = Chance(loses ? 50 : 1);
+  Duration delay_to_store = slow ? DrawMs(50, 900) : DrawMs(1, 8);
+  const bool lost = Chance(loses_calls ? 50 : 1);
   if (lost && Chance(30)) {
     return;  // The call is lost.
   }
   if (lost && Chance(50)) {
-    there = DrawMs(100, 6000);
+    delay_to_store = DrawMs(100, 6000);
   }
-  After(there, [this, work = std::move(work), reply_with, lost, slow] {
+  After(delay_to_store, [this, work = std::move(work), reply_with, lost, slow] {
     if (Chance(30)) {
       store_.WriteElsewhere();
     }
@@ -307,17 +307,17 @@
   const Time arrival =
       std::max(now_ + (taken_late ? DrawMs(400, 12000) : DrawMs(1, 6)), target->frozen_until);
   At(arrival, [=, this] {
-    ModelBackend* taker = BackendWithId(id);
-    if (taker == nullptr) {
+    ModelBackend* receiver = BackendWithId(id);
+    if (receiver == nullptr) {
       return;
     }
-    if (now_ < taker->frozen_until) {
+    if (now_ < receiver->frozen_until) {
       return;  // Frozen again; the order is lost.
     }
-    const OrderReply reply = work(*taker, now_ - decided > kLateOrder);
+    const OrderReply reply = work(*receiver, now_ - decided > kLateOrder);
     Duration delay = DrawMs(1, 6);
     if (hold == absl::ZeroDuration()) {
-      delay += taker->work;
+      delay += receiver->work;
     }
     if (!answer_lost) {
       ReplyOrder(index, incarnation, call, reply, delay);
--- a/tests/unit/ownership/model_world.h
+++ b/tests/unit/ownership/model_world.h
@@ -165,9 +165,9 @@
   ModelStore store_;
   Time store_down_until_ = absl::InfinitePast();
   /// Calls sent during the outage may be executed after this time.
-  Time store_keeps_until_ = absl::InfinitePast();
+  Time store_executes_late_until_ = absl::InfinitePast();
   Time store_slow_until_ = absl::InfinitePast();
-  Time store_loses_until_ = absl::InfinitePast();
+  Time store_loses_calls_until_ = absl::InfinitePast();
   std::vector<ModelNode> nodes_;
   uint64_t last_incarnation_ = 0;
   std::vector<std::unique_ptr<ModelBackend>> backends_;
--- a/tests/unit/ownership/ownership_test.cc
+++ b/tests/unit/ownership/ownership_test.cc
@@ -153,11 +153,11 @@
   Holding holding({"a", "b"});
   Harness& node = holding.node;
   node.silent.insert("a");
-  const Time silent_since = node.now;
+  const Time unresponsive_since = node.now;
   node.Run(absl::Seconds(3));
   BOOST_REQUIRE(node.Believed(belief::kOwnerSilent));
   Time last_grant = absl::InfinitePast();
-  for (const At<GrantAction>& grant : node.GrantsSince(silent_since)) {
+  for (const At<GrantAction>& grant : node.GrantsSince(unresponsive_since)) {
     last_grant = grant.sent.backend == "a" ? grant.at : last_grant;
   }
   const size_t releases = node.releases.size();
@@ -190,8 +190,8 @@
   Holding holding({"a", "b"}, settings);
   Harness& node = holding.node;
   node.silent.insert("a");
-  const Time silent_since = node.now;
-  while (node.OwnerOf(0) == "a" && node.now < silent_since + absl::Seconds(10)) {
+  const Time unresponsive_since = node.now;
+  while (node.OwnerOf(0) == "a" && node.now < unresponsive_since + absl::Seconds(10)) {
     node.Run(absl::Milliseconds(10));
   }
   BOOST_TEST((node.now >= node.releases.front().at + settings.map_confirmation));
@@ -375,13 +375,13 @@
   Harness& node = holding.node;
   node.silent.insert("a");
   node.Run(node.settings.hold_renewal);
-  const GrantAction whole = node.grants.back().sent;
+  const GrantAction full_grant = node.grants.back().sent;
   partition::Script().next = {{{100, 199}, "b"}};
   while (node.releases.empty()) {
     node.Run(absl::Milliseconds(1));
   }
   node.silent.clear();
-  node.coordinator.OnOrderReply(whole.call, {OrderStatus::kFenced, ""}, node.now);
+  node.coordinator.OnOrderReply(full_grant.call, {OrderStatus::kFenced, ""}, node.now);
   node.Drain();
   BOOST_TEST(!node.Believed(belief::kOwnerFenced));
   BOOST_TEST(!node.IsMoving(99));
@@ -395,10 +395,10 @@
   node.store_mute = true;
   node.Run(absl::Milliseconds(480));
   node.Register({"a", "c"});
-  const Time gone = node.now;
+  const Time deregistered_at = node.now;
   node.store_answers = true;
   node.Run(absl::Seconds(2));
-  for (const At<GrantAction>& grant : node.GrantsSince(gone)) {
+  for (const At<GrantAction>& grant : node.GrantsSince(deregistered_at)) {
     BOOST_TEST(grant.sent.backend != "b");
   }
   BOOST_TEST(node.OwnerOf(150) != "b");
@@ -435,10 +435,10 @@
   partition::Script().next = {{{10000, 19999}, "b"}};
   node.Run(absl::Milliseconds(2100));
   node.silent.insert("a");
-  const Time silent_since = node.now;
-  const auto unanswered = [&node, silent_since] {
+  const Time unresponsive_since = node.now;
+  const auto unanswered = [&node, unresponsive_since] {
     size_t count = 0;
-    for (const At<GrantAction>& grant : node.GrantsSince(silent_since)) {
+    for (const At<GrantAction>& grant : node.GrantsSince(unresponsive_since)) {
       count += grant.sent.backend == "a" ? 1 : 0;
     }
     return count;
