--- a/src/core/ownership/backend_directory.cc
+++ b/src/core/ownership/backend_directory.cc
@@ -17,8 +17,7 @@
 constexpr Duration kMinExclusion = absl::Seconds(3);
 constexpr Duration kMaxExclusion = absl::Seconds(30);
 
-/// Time constant of the decay of back-off and answer counts; spans the reports of a few report
-/// intervals.
+/// Time constant of the decay of back-off and answer counts; spans a few reports.
 constexpr Duration kDeclinedDecay = absl::Seconds(3);
 /// A single back-off may be chance, and so may a few among many answers.
 constexpr double kMinDeclinedToAvoid = 1.5;
--- a/src/core/ownership/backend_directory.h
+++ b/src/core/ownership/backend_directory.h
@@ -148,8 +148,8 @@
   /// Returns whether the back end is avoided. False if so many back ends of its service are avoided
   /// that the others could not take over.
   bool IsAvoided(const KnownBackend& backend, Time now) const;
-  /// Returns whether a back end of the service may be assigned keys and accepts requests at an
-  /// unlimited rate.
+  /// Returns whether a back end of the service may be assigned keys and is not rate-limited by its
+  /// slow start.
   bool AnyWarmAccepts(const std::string& service, Time now) const;
   /// Returns whether most of a service's back ends are unresponsive, in which case this node is
   /// more likely to be disconnected than they are.
