--- a/src/core/ownership/backend_directory.cc
+++ b/src/core/ownership/backend_directory.cc
@@ -41,10 +41,10 @@
 /// With fewer back ends, no conclusion is drawn from most of them being unresponsive.
 constexpr size_t kMinForMajority = 3;
 
-void FadeCounts(KnownBackend* backend, Time now) {
-  const double left = ExponentialDecay(now - backend->counted_at, kDeclinedDecay);
-  backend->declined *= left;
-  backend->served *= left;
+void DecayCounts(KnownBackend* backend, Time now) {
+  const double remaining = ExponentialDecay(now - backend->counted_at, kDeclinedDecay);
+  backend->declined *= remaining;
+  backend->served *= remaining;
   backend->counted_at = now;
 }
 
@@ -230,7 +230,7 @@
     return false;
   }
   KnownBackend& known = found->second;
-  FadeCounts(&known, now);
+  DecayCounts(&known, now);
   known.declined += 1;
   if (now < known.avoided_until || known.declined < kMinDeclinedToAvoid ||
       known.declined < kMinDeclinedShare * known.served) {
@@ -276,7 +276,7 @@
 void BackendDirectory::RecordServed(const std::string& id, uint32_t answers, Time now) {
   const auto found = backends_.find(id);
   if (found != backends_.end()) {
-    FadeCounts(&found->second, now);
+    DecayCounts(&found->second, now);
     found->second.served += answers;
   }
 }
