--- a/src/core/forwarding/attempt_events.cc
+++ b/src/core/forwarding/attempt_events.cc
@@ -13,12 +13,12 @@
 constexpr int kGatewayTimeout = 504;
 constexpr int kMisdirected = 421;
 /// Giving an answer up says something about the back end only after so many service times.
-constexpr int kTimeoutPatience = 2;
+constexpr int kUnansweredServiceTimes = 2;
 /// What ends within this share of the service time has not been worked on.
 constexpr double kQuickShare = 0.5;
 /// What a back end told is taken as true for so long. An estimate: some service times, in which a
 /// burst may fill a queue.
-constexpr Duration kFreshTold = absl::Milliseconds(500);
+constexpr Duration kReportFreshness = absl::Milliseconds(500);
 
 /// Whether the answer shows a fault of the back end itself.
 bool ShowsFault(const AttemptAnswer& answer) {
@@ -27,7 +27,7 @@
 }
 
 /// Whether the attempt ended too early to have been worked on, or to have waited for long.
-bool EndedAtOnce(const Attempt& attempt, Time now) {
+bool EndedImmediately(const Attempt& attempt, Time now) {
   return now - attempt.started < attempt.backend->load.ServiceTime(now) * kQuickShare;
 }
 
@@ -39,14 +39,16 @@
 /// Whether a request that was lost there may have been lost because the back end is full: not when
 /// it told a short time ago that it has room.
 bool MayBeFull(const load::LoadEstimate& load, Time now) {
-  return load.ToldAge(now) > kFreshTold || !HasRoom(load.told());
+  return load.ToldAge(now) > kReportFreshness || !HasRoom(load.told());
 }
 
 /// Whether an answer that comes now is soon enough for the share of its time that an attempt has.
-bool InTime(const Attempt& attempt, Time now) { return now - attempt.started <= attempt.timely; }
+bool InTime(const Attempt& attempt, Time now) {
+  return now - attempt.started <= attempt.late_after;
+}
 
 /// The attempt's bytes surely never left.
-bool NeverLeft(const Attempt& attempt, AttemptFailure failure) {
+bool NeverSent(const Attempt& attempt, AttemptFailure failure) {
   switch (failure) {
     case AttemptFailure::kConnectRefused:
     case AttemptFailure::kConnectTimeout:
@@ -113,8 +115,8 @@
     return;
   }
   const Attempt attempt = EndAttempt(handle);
-  LearnWishes(attempt, answer, now);
-  LearnFromAnswer(attempt, answer, now);
+  ApplyBackendSignals(attempt, answer, now);
+  UpdateFromAnswer(attempt, answer, now);
   suspects_.OnConnected(attempt.backend->registration.id);
   Request* request = FindRequest(attempt.request);
   if (request != nullptr) {
@@ -129,23 +131,24 @@
         OnRefused(*request, attempt, answer, now);
         break;
       case AnswerMeaning::kUnclear:
-        OnUnclear(*request, attempt, answer, now);
+        OnUnclearAnswer(*request, attempt, answer, now);
         break;
     }
   }
   DispatchWaiting(*attempt.service, now);
 }
 
-void Dispatcher::Impl::LearnWishes(const Attempt& attempt, const AttemptAnswer& answer, Time now) {
+void Dispatcher::Impl::ApplyBackendSignals(const Attempt& attempt, const AttemptAnswer& answer,
+                                           Time now) {
   BackendState& backend = *attempt.backend;
   if (answer.cold_left.has_value()) {
     services_.NoteCold(*answer.cold_left, backend, now);
   }
-  if (answer.rest.has_value()) {
+  if (answer.backoff.has_value()) {
     const bool rested = backend.Rests(now);
-    services_.NoteRest(*answer.rest, backend, now);
+    services_.NoteRest(*answer.backoff, backend, now);
     if (!rested && HasRoom(answer.load)) {
-      attempt.service->load.AddDeclined(backend.registration.id, *answer.rest);
+      attempt.service->load.AddDeclined(backend.registration.id, *answer.backoff);
     }
   }
   if (answer.status == kMisdirected) {
@@ -158,8 +161,8 @@
   rates_.limits().OnAnswer(backend.registration.id, answer.limit, attempt.started, now);
 }
 
-void Dispatcher::Impl::LearnFromAnswer(const Attempt& attempt, const AttemptAnswer& answer,
-                                       Time now) {
+void Dispatcher::Impl::UpdateFromAnswer(const Attempt& attempt, const AttemptAnswer& answer,
+                                        Time now) {
   BackendState& backend = *attempt.backend;
   attempt.service->admission.OnTold(answer.load, backend.load.ServiceTime(now), now);
   const Duration elapsed = now - attempt.started;
@@ -174,11 +177,12 @@
     attempt.service->admission.OnDone(now);
   }
   if (refused) {
-    LearnFromRefusal(attempt, answer, now);
+    UpdateFromRefusal(attempt, answer, now);
     return;
   }
   if (ShowsFault(answer)) {
-    NoteEjection(backend, absl::StrCat("answered ", answer.status), backend.outlier.OnFailure(now));
+    RecordEjection(backend, absl::StrCat("answered ", answer.status),
+                   backend.outlier.OnFailure(now));
     return;
   }
   if (answer.not_executed || answer.status >= kFirstServerError) {
@@ -190,33 +194,33 @@
   }
   backend.load.OnServed(elapsed, answer.load, now);
   backend.owner_limit.OnAnswer(attempt.started, InTime(attempt, now), now);
-  const bool told = answer.load.slots > 0;
-  if (!told || (answer.load.waiting == 0 && answer.load.running <= answer.load.slots)) {
-    attempt.service->load.AddServiceTime(backend.registration.id, elapsed, !told);
+  const bool load_reported = answer.load.slots > 0;
+  if (!load_reported || (answer.load.waiting == 0 && answer.load.running <= answer.load.slots)) {
+    attempt.service->load.AddServiceTime(backend.registration.id, elapsed, !load_reported);
   }
 }
 
-void Dispatcher::Impl::LearnFromRefusal(const Attempt& attempt, const AttemptAnswer& answer,
-                                        Time now) {
+void Dispatcher::Impl::UpdateFromRefusal(const Attempt& attempt, const AttemptAnswer& answer,
+                                         Time now) {
   BackendState& backend = *attempt.backend;
   const bool has_room = HasRoom(answer.load);
-  const bool at_once = EndedAtOnce(attempt, now);
-  if (at_once && !answer.rest.has_value()) {
+  const bool ended_immediately = EndedImmediately(attempt, now);
+  if (ended_immediately && !answer.backoff.has_value()) {
     // Not asked again before another of its slots may be free; a repeat for one of its keys waits.
     backend.load.OnShed(answer.load, now);
   } else {
     backend.load.OnTold(answer.load, now);
   }
-  if (at_once && !has_room) {
+  if (ended_immediately && !has_room) {
     // An owner with room is ill, and sending it less does not heal it: of the requests for keys of
     // an owner that sheds half, 0.24 were served with its limit cut, and 0.82 without (replay of
     // the unit test ill_back_end, 20 seeds).
     backend.owner_limit.OnTurnedAway(attempt.started, backend.load.ServiceTime(now), now);
   }
   // One that says when it may be asked again is not ill, and is used as before from then on.
-  if (has_room && !answer.rest.has_value()) {
+  if (has_room && !answer.backoff.has_value()) {
     const Duration ejected = backend.outlier.OnFailure(now);
-    NoteEjection(backend, "refuses though it has free slots", ejected);
+    RecordEjection(backend, "refuses though it has free slots", ejected);
     if (ejected > absl::ZeroDuration()) {
       attempt.service->load.AddDeclined(backend.registration.id, ejected);
     }
@@ -225,28 +229,28 @@
 
 void Dispatcher::Impl::OnRefused(Request& request, const Attempt& attempt,
                                  const AttemptAnswer& answer, Time now) {
-  request.setback = {SetbackKind::kRefused, attempt.backend, answer.status, answer.load};
+  request.last_failure = {FailureKind::kRefused, attempt.backend, answer.status, answer.load};
   if (answer.status != kMisdirected) {
     Continue(request, SendCause::kAfterRefusal, now);
     return;
   }
   if (request.sharded) {
-    request.setback.kind = SetbackKind::kDenied;
+    request.last_failure.kind = FailureKind::kDenied;
     request.denied = DeniedAssignment{attempt.backend->registration.id, attempt.fence};
     request.service->load.SetDenied(*request.key);
     services_.AddBelief(*attempt.backend, "denied",
                         absl::StrCat("key ", *request.key, ", fence ", attempt.fence));
   } else {
     request.failed.push_back(attempt.backend);
-    NoteEjection(*attempt.backend, "another instance answers at its address",
-                 attempt.backend->outlier.OnWrongInstance(now));
+    RecordEjection(*attempt.backend, "another instance answers at its address",
+                   attempt.backend->outlier.OnWrongInstance(now));
   }
   Continue(request, SendCause::kAfterRefusal, now);
 }
 
-void Dispatcher::Impl::OnUnclear(Request& request, const Attempt& attempt,
-                                 const AttemptAnswer& answer, Time now) {
-  OnLost(request, attempt, SetbackKind::kUnclear, answer.status, now);
+void Dispatcher::Impl::OnUnclearAnswer(Request& request, const Attempt& attempt,
+                                       const AttemptAnswer& answer, Time now) {
+  OnLost(request, attempt, FailureKind::kUnclear, answer.status, now);
 }
 
 void Dispatcher::Impl::OnAttemptFailure(AttemptHandle handle, AttemptFailure failure, Time now) {
@@ -254,17 +258,17 @@
     return;
   }
   const Attempt attempt = EndAttempt(handle);
-  LearnFromFailure(attempt, failure, now);
+  UpdateFromFailure(attempt, failure, now);
   Request* request = FindRequest(attempt.request);
   if (request != nullptr) {
-    if (NeverLeft(attempt, failure)) {
-      OnNeverLeft(*request, attempt, failure, now);
+    if (NeverSent(attempt, failure)) {
+      OnNeverSent(*request, attempt, failure, now);
     } else if (failure == AttemptFailure::kTimedOut) {
       request->may_have_run = true;
-      request->setback = {SetbackKind::kLost, attempt.backend, 0, {}};
+      request->last_failure = {FailureKind::kLost, attempt.backend, 0, {}};
       FinishTimeOver(*request, now);
     } else {
-      OnLost(*request, attempt, SetbackKind::kLost, 0, now);
+      OnLost(*request, attempt, FailureKind::kLost, 0, now);
     }
   }
   DispatchWaiting(*attempt.service, now);
@@ -299,72 +303,72 @@
          suspects_.Judge(*request.fingerprint, now).crashes >= quarantine::kCrashesToStopRetries;
 }
 
-void Dispatcher::Impl::LearnFromFailure(const Attempt& attempt, AttemptFailure failure, Time now) {
+void Dispatcher::Impl::UpdateFromFailure(const Attempt& attempt, AttemptFailure failure, Time now) {
   BackendState& backend = *attempt.backend;
   switch (failure) {
     case AttemptFailure::kConnectRefused:
       suspects_.OnRefused(backend.registration.id, now);
-      NoteEjection(backend, "refused a connection", backend.outlier.OnConnectRefused(now));
+      RecordEjection(backend, "refused a connection", backend.outlier.OnConnectRefused(now));
       break;
     case AttemptFailure::kConnectTimeout:
-      NoteEjection(backend, "gave no connection in time", backend.outlier.OnConnectTimeout(now));
+      RecordEjection(backend, "gave no connection in time", backend.outlier.OnConnectTimeout(now));
       break;
     case AttemptFailure::kNotSent:
       break;
     case AttemptFailure::kLost:
       // A full back end may reset connections instead of answering; it does so at once.
-      if (EndedAtOnce(attempt, now)) {
+      if (EndedImmediately(attempt, now)) {
         backend.load.OnShed({}, now);
       }
       if (MayBeFull(backend.load, now)) {
         backend.owner_limit.OnTurnedAway(attempt.started, backend.load.ServiceTime(now), now);
       }
-      NoteEjection(backend, "lost a request", backend.outlier.OnFailure(now));
+      RecordEjection(backend, "lost a request", backend.outlier.OnFailure(now));
       break;
     case AttemptFailure::kTimedOut:
       backend.owner_limit.OnAnswer(attempt.started, false, now);
-      if (attempt.sent &&
-          now - attempt.started > kTimeoutPatience * attempt.service->averages.ServiceTime()) {
+      if (attempt.sent && now - attempt.started >
+                              kUnansweredServiceTimes * attempt.service->averages.ServiceTime()) {
         backend.load.OnUnanswered(now - attempt.started, now);
-        NoteEjection(backend, "gave no answer in time", backend.outlier.OnFailure(now));
+        RecordEjection(backend, "gave no answer in time", backend.outlier.OnFailure(now));
       }
       break;
   }
 }
 
-void Dispatcher::Impl::NoteEjection(const BackendState& backend, const std::string& cause,
-                                    Duration time) {
+void Dispatcher::Impl::RecordEjection(const BackendState& backend, const std::string& cause,
+                                      Duration time) {
   if (time > absl::ZeroDuration()) {
     services_.AddBelief(backend, "ejected",
                         absl::StrCat(cause, ", for ", absl::FormatDuration(time)));
   }
 }
 
-void Dispatcher::Impl::OnNeverLeft(Request& request, const Attempt& attempt, AttemptFailure failure,
+void Dispatcher::Impl::OnNeverSent(Request& request, const Attempt& attempt, AttemptFailure failure,
                                    Time now) {
-  --request.departures;
+  --request.counted_attempts;
   if (attempt.charged) {
     request.service->budget.Refund(attempt.started);
   }
   const bool not_sent = failure == AttemptFailure::kNotSent;
-  request.setback = {
-      not_sent ? SetbackKind::kNotSent : SetbackKind::kUnreachable, attempt.backend, 0, {}};
+  request.last_failure = {
+      not_sent ? FailureKind::kNotSent : FailureKind::kUnreachable, attempt.backend, 0, {}};
   if (!not_sent && !request.sharded) {
     request.failed.push_back(attempt.backend);
   }
   Continue(request, SendCause::kAfterConnectFailure, now);
 }
 
-void Dispatcher::Impl::OnLost(Request& request, const Attempt& attempt, SetbackKind kind,
+void Dispatcher::Impl::OnLost(Request& request, const Attempt& attempt, FailureKind kind,
                               int status, Time now) {
   request.may_have_run = true;
-  request.setback = {kind, attempt.backend, status, {}};
+  request.last_failure = {kind, attempt.backend, status, {}};
   if (!request.sharded) {
     request.failed.push_back(attempt.backend);
   }
-  const bool spares_others = MayCrashAnother(request, now);
-  if (!request.repeatable() || spares_others) {
-    const StopCause cause = spares_others ? StopCause::kMayCrashAnother : StopCause::kNotRepeatable;
+  const bool stop_retries = MayCrashAnother(request, now);
+  if (!request.repeatable() || stop_retries) {
+    const StopCause cause = stop_retries ? StopCause::kMayCrashAnother : StopCause::kNotRepeatable;
     Finish(request, AnswerUnserved(request, Choice(), cause, ownership_.map(), random_, now), now);
     return;
   }
@@ -380,7 +384,7 @@
   Dispatch(request, now);
 }
 
-void Dispatcher::Impl::OnCallerGone(RequestHandle handle, Time now) {
+void Dispatcher::Impl::OnCallerDisconnected(RequestHandle handle, Time now) {
   Request* request = FindRequest(handle);
   if (request != nullptr) {
     ServiceState& service = *request->service;
--- a/src/core/forwarding/deadlines.cc
+++ b/src/core/forwarding/deadlines.cc
@@ -12,7 +12,7 @@
 /// Hedges use no more than this share of the retry budget: the rest is for requests that failed.
 constexpr double kHedgeBudgetShare = 0.5;
 /// How soon a hedge that was not sensible is considered again.
-constexpr Duration kHedgePause = absl::Milliseconds(20);
+constexpr Duration kHedgeRecheckInterval = absl::Milliseconds(20);
 
 }  // namespace
 
@@ -60,7 +60,7 @@
 
 bool Dispatcher::Impl::MayHedge(const Request& request) const {
   return settings_.hedge && request.repeatable() && !request.sharded &&
-         request.in_flight.size() == 1 && request.departures < request.route->max_attempts;
+         request.in_flight.size() == 1 && request.counted_attempts < request.route->max_attempts;
 }
 
 void Dispatcher::Impl::ArmHedge(Request& request, const Attempt& attempt, Time now) {
@@ -78,7 +78,7 @@
 void Dispatcher::Impl::TryHedge(Request& request, Time now) {
   request.hedge_at = absl::InfiniteFuture();
   if (MayHedge(request)) {
-    request.hedge_at = now + kHedgePause;
+    request.hedge_at = now + kHedgeRecheckInterval;
     const Attempt& slow = attempts_.at(request.in_flight.front());
     std::vector<BackendStatePtr> others = request.failed;
     others.push_back(slow.backend);
--- a/src/core/forwarding/dispatch.cc
+++ b/src/core/forwarding/dispatch.cc
@@ -12,11 +12,11 @@
 constexpr size_t kMaxWaiting = 64;
 /// The share of the target latency that an attempt may take; the rest is for waiting here and for
 /// the way to the caller. docs/design/018 weighs it.
-constexpr double kTimelyShare = 0.75;
+constexpr double kAttemptTimeShare = 0.75;
 /// A waiting request is not looked at more often than this without cause.
-constexpr Duration kLeastWait = absl::Milliseconds(5);
+constexpr Duration kMinRedispatchInterval = absl::Milliseconds(5);
 /// Where work takes about as long as the target latency, queues may still take this share of it.
-constexpr double kLeastSlackShare = 0.1;
+constexpr double kMinSlackShare = 0.1;
 
 }  // namespace
 
@@ -25,8 +25,8 @@
     FinishTimeOver(request, now);
     return;
   }
-  const bool again = request.departures > 0;
-  if (again && request.departures >= std::max(request.route->max_attempts, 1U)) {
+  const bool again = request.counted_attempts > 0;
+  if (again && request.counted_attempts >= std::max(request.route->max_attempts, 1U)) {
     FinishUnserved(request, Choice(), StopCause::kAttemptsSpent, now);
     return;
   }
@@ -44,7 +44,7 @@
   } else if (choice.backend != nullptr) {
     Send(request, choice, now);
   } else if (!MayWait(request, choice, now)) {
-    FinishUnserved(request, choice, StopCause::kObstacle, now);
+    FinishUnserved(request, choice, StopCause::kUnavailable, now);
   } else if (!request.waiting && request.service->waiting.size() >= kMaxWaiting) {
     FinishUnserved(request, choice, StopCause::kTooManyWaiting, now);
   } else {
@@ -76,7 +76,7 @@
     ServiceState& service = *request.service;
     const Duration target = request.route->target_latency;
     const Duration slack =
-        std::max(target - service.averages.ServiceTime(), target * kLeastSlackShare);
+        std::max(target - service.averages.ServiceTime(), target * kMinSlackShare);
     request.admitted = service.admission.Admit(request.route->priority, slack, now);
     services_.NoteLevel(service, now);
   }
@@ -89,16 +89,16 @@
       choice.obstacle == Obstacle::kOwnerResting || choice.obstacle == Obstacle::kAllResting ||
       ((choice.obstacle == Obstacle::kOwnerLimited || choice.obstacle == Obstacle::kAllLimited) &&
        !rates_.AwaitsReply(choice.about->registration.id, now));
-  if (is_timed && choice.try_again > request.patience_until) {
+  if (is_timed && choice.try_again > request.wait_deadline) {
     // It is known that waiting here is for nothing.
     return false;
   }
-  return choice.may_pass && now < request.patience_until && request.answer_by - now > needed;
+  return choice.may_pass && now < request.wait_deadline && request.answer_by - now > needed;
 }
 
 void Dispatcher::Impl::Wait(Request& request, const Choice& choice, Time now) {
   request.wait_until =
-      std::min(std::max(choice.try_again, now + kLeastWait), request.patience_until);
+      std::min(std::max(choice.try_again, now + kMinRedispatchInterval), request.wait_deadline);
   if (!request.waiting) {
     request.waiting = true;
     request.service->waiting.Add(request.QueueEntry());
@@ -122,8 +122,8 @@
   attempt.service = request.service;
   attempt.fence = choice.fence;
   attempt.started = now;
-  attempt.timely = request.route->target_latency * kTimelyShare;
-  attempt.charged = request.departures > 0;
+  attempt.late_after = request.route->target_latency * kAttemptTimeShare;
+  attempt.charged = request.counted_attempts > 0;
   if (attempt.charged) {
     request.service->budget.Charge(now);
   }
@@ -143,7 +143,7 @@
   send.answer_by = request.answer_by;
   send.cause = request.next_cause;
   send.expected_wait = choice.expected_wait;
-  ++request.departures;
+  ++request.counted_attempts;
   ++request.sends;
   request.in_flight.push_back(send.attempt);
   attempts_.emplace(send.attempt, std::move(attempt));
@@ -174,7 +174,7 @@
     attempt.backend->load.OnEnd(attempt.started);
     if (attempt.sent) {
       attempt.backend->load.OnUnanswered(now - attempt.started, now);
-      if (now - attempt.started > attempt.timely) {
+      if (now - attempt.started > attempt.late_after) {
         attempt.backend->owner_limit.OnAnswer(attempt.started, false, now);
       }
     }
--- a/src/core/forwarding/dispatcher.cc
+++ b/src/core/forwarding/dispatcher.cc
@@ -16,18 +16,18 @@
 constexpr double kRatioInUse = 0.85;
 constexpr double kSlackInUse = 0.8;
 /// How long a request without a target latency waits for a slot or an owner.
-constexpr Duration kDefaultPatience = absl::Milliseconds(100);
+constexpr Duration kDefaultMaxWait = absl::Milliseconds(100);
 /// Without anything learned, an answer is expected after this share of the target latency.
 constexpr double kPriorServiceShare = 1.0 / 3;
 constexpr Duration kNoConfigurationRetryAfter = absl::Milliseconds(250);
 /// Another node may take the request at once.
 constexpr Duration kStoppingRetryAfter = absl::Milliseconds(20);
 
-Duration PatienceOf(const catalog::Route& route, const DispatcherSettings& settings) {
+Duration MaxWaitOf(const catalog::Route& route, const DispatcherSettings& settings) {
   if (route.target_latency == absl::InfiniteDuration()) {
-    return kDefaultPatience;
+    return kDefaultMaxWait;
   }
-  return std::max(route.target_latency * settings.patience_share - settings.answer_margin,
+  return std::max(route.target_latency * settings.max_wait_share - settings.answer_margin,
                   absl::ZeroDuration());
 }
 
@@ -62,7 +62,7 @@
 }
 
 void Dispatcher::Impl::ChangeBackends(const catalog::BackendChanges& changes,
-                                      const RegistrationNews& news, Time now) {
+                                      const RegistrationUpdate& news, Time now) {
   services_.ChangeBackends(changes, news, now);
   for (ServiceState* service : services_.Services()) {
     DispatchWaiting(*service, now);
@@ -155,7 +155,7 @@
       std::min(incoming.arrival + route.timeout, incoming.deadline) - settings_.answer_margin;
   request->start_by = std::min(request->answer_by,
                                incoming.arrival + route.target_latency * settings_.overload_share);
-  request->patience_until = incoming.arrival + PatienceOf(route, settings_);
+  request->wait_deadline = incoming.arrival + MaxWaitOf(route, settings_);
   if (route.target_latency != absl::InfiniteDuration()) {
     request->service->averages.SetPrior(route.target_latency * kPriorServiceShare);
   }
@@ -173,24 +173,25 @@
   return loads;
 }
 
-std::vector<BackendBelief> Dispatcher::Impl::TakeBeliefs() {
-  std::vector<BackendBelief> beliefs = services_.TakeBeliefs();
+std::vector<BackendStateChange> Dispatcher::Impl::TakeStateChanges() {
+  std::vector<BackendStateChange> changes = services_.TakeStateChanges();
   for (quarantine::SuspectNote& note : suspects_.TakeNotes()) {
-    beliefs.push_back(
+    changes.push_back(
         {quarantine::Format(note.request), std::move(note.event), std::move(note.detail)});
   }
   for (const allowance::LimitNote& note : rates_.limits().TakeNotes()) {
     const std::string_view by = note.from_other ? "told by another node" : "told by itself";
-    beliefs.push_back({note.backend, note.rate.has_value() ? "rate_limited" : "rate_limit_ended",
+    changes.push_back({note.backend, note.rate.has_value() ? "rate_limited" : "rate_limit_ended",
                        note.rate.has_value()
                            ? absl::StrCat(*note.rate, " requests a second from all nodes, ",
                                           absl::string_view(by.data(), by.size()))
                            : std::string(by)});
   }
-  return beliefs;
+  return changes;
 }
 
-bool Dispatcher::Impl::OnLimitsHeard(const std::vector<allowance::LimitRecord>& records, Time now) {
+bool Dispatcher::Impl::OnLimitsReceived(const std::vector<allowance::LimitRecord>& records,
+                                        Time now) {
   const bool news = rates_.limits().Merge(records, now);
   if (news) {
     for (ServiceState* service : services_.Services()) {
@@ -244,7 +245,7 @@
   return waiting;
 }
 
-double Dispatcher::Impl::LeastAdmissionShare() {
+double Dispatcher::Impl::MinAdmissionShare() {
   double least = 1;
   for (const ServiceState* service : services_.Services()) {
     least = std::min(least, service->admission.share());
@@ -284,7 +285,7 @@
   impl_->SetConfiguration(std::move(configuration), now);
 }
 void Dispatcher::ChangeBackends(const catalog::BackendChanges& changes,
-                                const RegistrationNews& news, Time now) {
+                                const RegistrationUpdate& news, Time now) {
   impl_->ChangeBackends(changes, news, now);
 }
 void Dispatcher::SetOwnership(std::shared_ptr<const ownership::OwnershipMap> map, Time now) {
@@ -307,8 +308,8 @@
 RequestHandle Dispatcher::Start(const IncomingRequest& request, Time now) {
   return impl_->Start(request, now);
 }
-void Dispatcher::OnCallerGone(RequestHandle request, Time now) {
-  impl_->OnCallerGone(request, now);
+void Dispatcher::OnCallerDisconnected(RequestHandle request, Time now) {
+  impl_->OnCallerDisconnected(request, now);
 }
 bool Dispatcher::MaySend(AttemptHandle attempt, Time now) const {
   return impl_->MaySend(attempt, now);
@@ -325,10 +326,10 @@
   impl_->OnRequestLost(attempt, request, now);
 }
 const allowance::SharedRates& Dispatcher::rates() const { return impl_->rates(); }
-bool Dispatcher::OnLimitsHeard(const std::vector<allowance::LimitRecord>& records, Time now) {
-  return impl_->OnLimitsHeard(records, now);
+bool Dispatcher::OnLimitsReceived(const std::vector<allowance::LimitRecord>& records, Time now) {
+  return impl_->OnLimitsReceived(records, now);
 }
-bool Dispatcher::TakeLimitNews() { return impl_->TakeLimitNews(); }
+bool Dispatcher::TakeLimitsChanged() { return impl_->TakeLimitsChanged(); }
 std::vector<allowance::PermitQuestion> Dispatcher::TakePermitQuestions() {
   return impl_->TakePermitQuestions();
 }
@@ -339,7 +340,7 @@
 void Dispatcher::OnPermitReply(const allowance::PermitReply& reply, Time now) {
   impl_->OnPermitReply(reply, now);
 }
-void Dispatcher::ForgetLimits(Time now) { impl_->ForgetLimits(now); }
+void Dispatcher::ExpireLimits(Time now) { impl_->ExpireLimits(now); }
 quarantine::CrashSuspects& Dispatcher::suspects() { return impl_->suspects(); }
 const Endpoint* Dispatcher::AddressOf(const std::string& backend) const {
   return impl_->AddressOf(backend);
@@ -348,10 +349,10 @@
 std::vector<RequestDecision> Dispatcher::TakeDecisions() { return impl_->TakeDecisions(); }
 Time Dispatcher::NextWake() const { return impl_->NextWake(); }
 std::vector<load::ServiceLoad> Dispatcher::TakeLoad() { return impl_->TakeLoad(); }
-std::vector<BackendBelief> Dispatcher::TakeBeliefs() { return impl_->TakeBeliefs(); }
+std::vector<BackendStateChange> Dispatcher::TakeStateChanges() { return impl_->TakeStateChanges(); }
 bool Dispatcher::CanServe(Time now) const { return impl_->CanServe(now); }
 double Dispatcher::RetriesLeft(Time now) { return impl_->RetriesLeft(now); }
 uint64_t Dispatcher::RequestsWaiting() { return impl_->RequestsWaiting(); }
-double Dispatcher::LeastAdmissionShare() { return impl_->LeastAdmissionShare(); }
+double Dispatcher::MinAdmissionShare() { return impl_->MinAdmissionShare(); }
 
 }  // namespace ladderstream::forwarding
--- a/src/core/forwarding/dispatcher.h
+++ b/src/core/forwarding/dispatcher.h
@@ -66,10 +66,10 @@
   uint64_t node = 0;
   /// A registration that disappears while the store is troubled is believed only after this; at the
   /// latest at the end of `drain_time`, unless many went at once and so have lapsed.
-  Duration lapse_grace = absl::Milliseconds(1500);
+  Duration expiry_grace = absl::Milliseconds(1500);
   /// How long a request may wait for a moving key or a free slot, as a share of its target latency.
   /// Refused by then, it comes back in time; a quarter, with the way here, was too late for many.
-  double patience_share = 0.2;
+  double max_wait_share = 0.2;
   /// A request is refused at once when the queue that it would join lasts longer than this share of
   /// its target latency; longer than its deadline allows, in any case.
   double overload_share = 1000;
@@ -177,7 +177,7 @@
   /// For how long it is slow from a start, when it says so.
   std::optional<Duration> cold_left;
   /// For how long it wants no requests from this node, when it said so while turning one away.
-  std::optional<Duration> rest;
+  std::optional<Duration> backoff;
   /// It says that it is about to end.
   bool leaving = false;
   /// What it says of a limit on the requests that it takes from all nodes together.
@@ -187,7 +187,7 @@
 };
 
 /// How a list of registrations was learned.
-struct RegistrationNews {
+struct RegistrationUpdate {
   /// The store was not well lately: a missing registration may have lapsed by mistake.
   bool store_troubled = false;
   /// What differs from the list before happened after this, however late it was heard.
@@ -195,7 +195,7 @@
 };
 
 /// A change of what the dispatcher believes of a back end, for the log.
-struct BackendBelief {
+struct BackendStateChange {
   std::string backend;
   std::string event;
   std::string detail;
@@ -209,7 +209,7 @@
   void SetConfiguration(std::shared_ptr<const catalog::Configuration> configuration, Time now);
   /// What changed in the registered back ends. Also to be called after a change of the
   /// configuration.
-  void ChangeBackends(const catalog::BackendChanges& changes, const RegistrationNews& news,
+  void ChangeBackends(const catalog::BackendChanges& changes, const RegistrationUpdate& news,
                       Time now);
   /// Null or stale (see SetMapConfirmed) maps make keyed requests fail with kNoOwner.
   void SetOwnership(std::shared_ptr<const ownership::OwnershipMap> map, Time now);
@@ -234,7 +234,7 @@
   /// A whole request was read. Decisions about it, also final ones, come from TakeDecisions.
   RequestHandle Start(const IncomingRequest& request, Time now);
   /// The caller has gone: cancels what may be cancelled, forgets the rest.
-  void OnCallerGone(RequestHandle request, Time now);
+  void OnCallerDisconnected(RequestHandle request, Time now);
 
   /// Every attempt ends with one OnAttemptAnswer or OnAttemptFailure, unless it was cancelled; also
   /// one whose request has got its final answer already.
@@ -259,23 +259,23 @@
   /// what is known with the other nodes.
   quarantine::CrashSuspects& suspects();
   /// What back ends in need take from all nodes together. Whoever owns the dispatcher exchanges
-  /// limits and permits with the other nodes: what changed, when TakeLimitNews says so, to all, and
-  /// questions for permits to the node that each names.
+  /// limits and permits with the other nodes: what changed, when TakeLimitsChanged says so, to all,
+  /// and questions for permits to the node that each names.
   const allowance::SharedRates& rates() const;
   /// Gives whether any of it was news.
-  bool OnLimitsHeard(const std::vector<allowance::LimitRecord>& records, Time now);
-  bool TakeLimitNews();
+  bool OnLimitsReceived(const std::vector<allowance::LimitRecord>& records, Time now);
+  bool TakeLimitsChanged();
   std::vector<allowance::PermitQuestion> TakePermitQuestions();
   allowance::PermitReply OnPermitQuestion(const allowance::PermitQuestion& question, Time now);
   /// TakeDecisions may give something afterwards.
   void OnPermitReply(const allowance::PermitReply& reply, Time now);
   /// To be called now and then: drops what has lapsed.
-  void ForgetLimits(Time now);
+  void ExpireLimits(Time now);
   /// Where a known back end is; null when it is not known.
   const Endpoint* AddressOf(const std::string& backend) const;
 
   std::vector<load::ServiceLoad> TakeLoad();
-  std::vector<BackendBelief> TakeBeliefs();
+  std::vector<BackendStateChange> TakeStateChanges();
   /// Whether every service that has a route has a back end or an owner to send to, and this node is
   /// not stopping.
   bool CanServe(Time now) const;
@@ -286,7 +286,7 @@
   uint64_t RequestsWaiting();
   /// The share of its requests that the most limited service is let through; 1 when none is
   /// limited.
-  double LeastAdmissionShare();
+  double MinAdmissionShare();
 
  private:
   class Impl;
--- a/src/core/forwarding/dispatcher_impl.h
+++ b/src/core/forwarding/dispatcher_impl.h
@@ -32,7 +32,7 @@
   explicit Impl(const DispatcherSettings& settings);
 
   void SetConfiguration(std::shared_ptr<const catalog::Configuration> configuration, Time now);
-  void ChangeBackends(const catalog::BackendChanges& changes, const RegistrationNews& news,
+  void ChangeBackends(const catalog::BackendChanges& changes, const RegistrationUpdate& news,
                       Time now);
   void SetOwnership(std::shared_ptr<const ownership::OwnershipMap> map, Time now);
   void SetMapConfirmed(Time until) { ownership_.SetConfirmed(until); }
@@ -50,7 +50,7 @@
   const catalog::Route* FindRoute(std::string_view host, std::string_view target) const;
 
   RequestHandle Start(const IncomingRequest& incoming, Time now);
-  void OnCallerGone(RequestHandle handle, Time now);
+  void OnCallerDisconnected(RequestHandle handle, Time now);
   bool MaySend(AttemptHandle handle, Time now) const;
   void OnSent(AttemptHandle handle, Time now);
   void OnAttemptAnswer(AttemptHandle handle, const AttemptAnswer& answer, Time now);
@@ -59,24 +59,24 @@
   void OnTick(Time now);
   quarantine::CrashSuspects& suspects() { return suspects_; }
   const allowance::SharedRates& rates() const { return rates_; }
-  bool OnLimitsHeard(const std::vector<allowance::LimitRecord>& records, Time now);
-  bool TakeLimitNews() { return rates_.limits().TakeNews(); }
+  bool OnLimitsReceived(const std::vector<allowance::LimitRecord>& records, Time now);
+  bool TakeLimitsChanged() { return rates_.limits().TakeNews(); }
   std::vector<allowance::PermitQuestion> TakePermitQuestions() { return rates_.TakeQuestions(); }
   allowance::PermitReply OnPermitQuestion(const allowance::PermitQuestion& question, Time now) {
     return rates_.Answer(question, now);
   }
   void OnPermitReply(const allowance::PermitReply& reply, Time now);
-  void ForgetLimits(Time now) { rates_.Forget(now); }
+  void ExpireLimits(Time now) { rates_.Forget(now); }
   const Endpoint* AddressOf(const std::string& backend) const;
 
   std::vector<RequestDecision> TakeDecisions() { return std::exchange(decisions_, {}); }
   Time NextWake() const;
   std::vector<load::ServiceLoad> TakeLoad();
-  std::vector<BackendBelief> TakeBeliefs();
+  std::vector<BackendStateChange> TakeStateChanges();
   bool CanServe(Time now) const;
   double RetriesLeft(Time now);
   uint64_t RequestsWaiting();
-  double LeastAdmissionShare();
+  double MinAdmissionShare();
 
  private:
   // dispatcher.cc
@@ -110,16 +110,17 @@
   /// Takes the attempt out of the books of its back end and its request.
   Attempt EndAttempt(AttemptHandle handle);
   Request* FindRequest(RequestHandle handle);
-  void LearnFromAnswer(const Attempt& attempt, const AttemptAnswer& answer, Time now);
+  void UpdateFromAnswer(const Attempt& attempt, const AttemptAnswer& answer, Time now);
   /// Takes in what the back end says that it wants of this node.
-  void LearnWishes(const Attempt& attempt, const AttemptAnswer& answer, Time now);
-  void LearnFromRefusal(const Attempt& attempt, const AttemptAnswer& answer, Time now);
-  void LearnFromFailure(const Attempt& attempt, AttemptFailure failure, Time now);
-  void NoteEjection(const BackendState& backend, const std::string& cause, Duration time);
+  void ApplyBackendSignals(const Attempt& attempt, const AttemptAnswer& answer, Time now);
+  void UpdateFromRefusal(const Attempt& attempt, const AttemptAnswer& answer, Time now);
+  void UpdateFromFailure(const Attempt& attempt, AttemptFailure failure, Time now);
+  void RecordEjection(const BackendState& backend, const std::string& cause, Duration time);
   void OnRefused(Request& request, const Attempt& attempt, const AttemptAnswer& answer, Time now);
-  void OnUnclear(Request& request, const Attempt& attempt, const AttemptAnswer& answer, Time now);
-  void OnNeverLeft(Request& request, const Attempt& attempt, AttemptFailure failure, Time now);
-  void OnLost(Request& request, const Attempt& attempt, SetbackKind kind, int status, Time now);
+  void OnUnclearAnswer(Request& request, const Attempt& attempt, const AttemptAnswer& answer,
+                       Time now);
+  void OnNeverSent(Request& request, const Attempt& attempt, AttemptFailure failure, Time now);
+  void OnLost(Request& request, const Attempt& attempt, FailureKind kind, int status, Time now);
   /// Whether it has been lost with so many back ends that one more is not to be risked.
   bool MayCrashAnother(const Request& request, Time now) const;
   /// The attempt failed: sends the request again, or leaves it to another attempt in flight.
--- a/src/core/forwarding/final_answer.cc
+++ b/src/core/forwarding/final_answer.cc
@@ -9,8 +9,8 @@
 namespace ladderstream::forwarding {
 namespace {
 
-constexpr Duration kLeastRetryAfter = absl::Milliseconds(20);
-constexpr Duration kMostRetryAfter = absl::Milliseconds(400);
+constexpr Duration kMinRetryAfter = absl::Milliseconds(20);
+constexpr Duration kMaxRetryAfter = absl::Milliseconds(400);
 /// Moving keys to another owner takes about this long.
 constexpr Duration kOwnerRetryAfter = absl::Milliseconds(150);
 constexpr Duration kNoMapRetryAfter = absl::Milliseconds(250);
@@ -18,11 +18,11 @@
 constexpr double kRetryJitter = 0.25;
 /// Of the time in which an answer can still be got in time, who is turned away stays away for this
 /// share at most: who stays away for longer comes back too late to be served in time.
-constexpr double kReturnShare = 0.2;
+constexpr double kRetryAfterShare = 0.2;
 /// Each rank below the highest is told to stay away for longer by this share.
-constexpr double kLaterPerRank = 0.5;
+constexpr double kDelayPerRank = 0.5;
 
-const char* NameOfObstacle(Obstacle obstacle) {
+const char* NameOfUnavailableReason(Obstacle obstacle) {
   switch (obstacle) {
     case Obstacle::kNone:
       return "none";
@@ -64,27 +64,27 @@
   return "unknown";
 }
 
-const char* NameOfSetback(SetbackKind kind) {
+const char* NameOfFailure(FailureKind kind) {
   switch (kind) {
-    case SetbackKind::kNone:
+    case FailureKind::kNone:
       return "none";
-    case SetbackKind::kRefused:
+    case FailureKind::kRefused:
       return "refused";
-    case SetbackKind::kDenied:
+    case FailureKind::kDenied:
       return "disowned the key";
-    case SetbackKind::kUnreachable:
+    case FailureKind::kUnreachable:
       return "unreachable";
-    case SetbackKind::kNotSent:
+    case FailureKind::kNotSent:
       return "connection closed before sending";
-    case SetbackKind::kLost:
+    case FailureKind::kLost:
       return "lost after sending";
-    case SetbackKind::kUnclear:
+    case FailureKind::kUnclear:
       return "refused without saying that it did not run";
   }
   return "unknown";
 }
 
-ResultCode CodeOfObstacle(Obstacle obstacle) {
+ResultCode CodeOfUnavailableReason(Obstacle obstacle) {
   switch (obstacle) {
     case Obstacle::kNoMap:
     case Obstacle::kNoOwner:
@@ -109,11 +109,11 @@
   }
 }
 
-ResultCode CodeOfSetback(SetbackKind kind) {
+ResultCode CodeOfFailure(FailureKind kind) {
   switch (kind) {
-    case SetbackKind::kRefused:
+    case FailureKind::kRefused:
       return ResultCode::kBackendShed;
-    case SetbackKind::kDenied:
+    case FailureKind::kDenied:
       return ResultCode::kOwnerChanged;
     default:
       return ResultCode::kBackendUnreachable;
@@ -126,7 +126,7 @@
 }
 
 /// The shortest wait at any back end of the service.
-Duration LeastWait(const ServiceState& service, Time now) {
+Duration ShortestWait(const ServiceState& service, Time now) {
   Duration least = absl::InfiniteDuration();
   for (const BackendStatePtr& backend : service.backends) {
     if (backend->UsableForAny(now)) {
@@ -147,10 +147,10 @@
   Duration time = kOwnerRetryAfter;
   if (code == ResultCode::kOverloaded || code == ResultCode::kBackendShed) {
     time = request.sharded && about != nullptr ? WaitAt(*about, now)
-                                               : LeastWait(*request.service, now);
+                                               : ShortestWait(*request.service, now);
   }
   const double jitter = kRetryJitter * Draw(random);
-  return std::clamp(time, kLeastRetryAfter, kMostRetryAfter) * (1 + jitter);
+  return std::clamp(time, kMinRetryAfter, kMaxRetryAfter) * (1 + jitter);
 }
 
 /// Of a request that admission turned away: when the queues are expected to be short enough, but
@@ -160,15 +160,15 @@
   const Duration left = request.arrival + request.route->target_latency - now -
                         request.service->averages.ServiceTime();
   const Duration room =
-      std::min(request.service->admission.TimeUntilRoom(now), left * kReturnShare);
-  const double later = 1 + kLaterPerRank * request.route->priority;
-  return std::clamp(room * later, kLeastRetryAfter, kMostRetryAfter) * (1 + Draw(random));
+      std::min(request.service->admission.TimeUntilRoom(now), left * kRetryAfterShare);
+  const double later = 1 + kDelayPerRank * request.route->priority;
+  return std::clamp(room * later, kMinRetryAfter, kMaxRetryAfter) * (1 + Draw(random));
 }
 
 /// Of a request that a used-up limit turned away: when permits are there again. All nodes turn away
 /// what is beyond it, so that callers come back spread over as much again.
 Duration RetryAfterLimit(const Choice& choice, std::mt19937_64& random, Time now) {
-  return std::clamp(choice.try_again - now, kLeastRetryAfter, kMostRetryAfter) * (1 + Draw(random));
+  return std::clamp(choice.try_again - now, kMinRetryAfter, kMaxRetryAfter) * (1 + Draw(random));
 }
 
 /// `owner`: it is asked for keys that it owns, so this node's limit there counts.
@@ -189,24 +189,24 @@
                          absl::ToDoubleMilliseconds(load.ToldAge(now)), load.in_flight(), limited);
 }
 
-std::string DescribeSetback(const Request& request) {
-  const Setback& setback = request.setback;
-  std::string text =
-      absl::StrCat("; last: ", setback.backend->registration.id, " ", NameOfSetback(setback.kind));
-  if (setback.status != 0) {
-    absl::StrAppend(&text, " with ", setback.status);
+std::string DescribeLastFailure(const Request& request) {
+  const LastFailure& last_failure = request.last_failure;
+  std::string text = absl::StrCat("; last: ", last_failure.backend->registration.id, " ",
+                                  NameOfFailure(last_failure.kind));
+  if (last_failure.status != 0) {
+    absl::StrAppend(&text, " with ", last_failure.status);
   }
-  if (setback.told.slots > 0) {
-    absl::StrAppend(&text, ", running ", setback.told.running, " waiting ", setback.told.waiting,
-                    " slots ", setback.told.slots);
+  if (last_failure.load.slots > 0) {
+    absl::StrAppend(&text, ", running ", last_failure.load.running, " waiting ",
+                    last_failure.load.waiting, " slots ", last_failure.load.slots);
   }
   return text;
 }
 
 std::string DescribeCause(const Request& request, const Choice& choice, StopCause cause) {
   switch (cause) {
-    case StopCause::kObstacle:
-      return std::string(NameOfObstacle(choice.obstacle));
+    case StopCause::kUnavailable:
+      return std::string(NameOfUnavailableReason(choice.obstacle));
     case StopCause::kNotRepeatable:
       return "it must not run twice";
     case StopCause::kAttemptsSpent:
@@ -220,7 +220,7 @@
     case StopCause::kMayCrashAnother:
       return "it may crash one more back end";
     case StopCause::kTooManyWaiting:
-      return absl::StrCat(NameOfObstacle(choice.obstacle), ", and too many wait already");
+      return absl::StrCat(NameOfUnavailableReason(choice.obstacle), ", and too many wait already");
   }
   return "unknown";
 }
@@ -243,8 +243,8 @@
         &text, "; key ", request.key.value_or(0), ", map ",
         map == nullptr ? "unknown" : absl::StrCat(map->version.epoch, ".", map->version.sequence));
   }
-  if (request.setback.backend != nullptr) {
-    text += DescribeSetback(request);
+  if (request.last_failure.backend != nullptr) {
+    text += DescribeLastFailure(request);
   }
   absl::StrAppend(&text, "; after ", request.sends, " sends and ",
                   absl::FormatDuration(absl::Trunc(now - request.arrival, absl::Milliseconds(1))));
@@ -269,23 +269,24 @@
   if (request.may_have_run) {
     return MakeAnswer(ResultCode::kConnectionLost, absl::ZeroDuration(), std::move(reason));
   }
-  const bool by_setback = request.setback.kind != SetbackKind::kNone &&
-                          (cause != StopCause::kObstacle || choice.obstacle == Obstacle::kAllTried);
+  const bool by_last_failure =
+      request.last_failure.kind != FailureKind::kNone &&
+      (cause != StopCause::kUnavailable || choice.obstacle == Obstacle::kAllTried);
   if (cause == StopCause::kNotAdmitted) {
     return MakeAnswer(ResultCode::kOverloaded, RetryAfterShedding(request, random, now),
                       std::move(reason));
   }
-  if (!by_setback && choice.limit.has_value()) {
+  if (!by_last_failure && choice.limit.has_value()) {
     return MakeAnswer(ResultCode::kBackendLimited, RetryAfterLimit(choice, random, now),
                       std::move(reason));
   }
-  const ResultCode code =
-      by_setback ? CodeOfSetback(request.setback.kind) : CodeOfObstacle(choice.obstacle);
+  const ResultCode code = by_last_failure ? CodeOfFailure(request.last_failure.kind)
+                                          : CodeOfUnavailableReason(choice.obstacle);
   const Duration retry_after =
       choice.obstacle == Obstacle::kNoMap
           ? kNoMapRetryAfter
-          : RetryAfter(request, code, by_setback ? request.setback.backend : choice.about, random,
-                       now);
+          : RetryAfter(request, code, by_last_failure ? request.last_failure.backend : choice.about,
+                       random, now);
   return MakeAnswer(code, retry_after, std::move(reason));
 }
 
@@ -295,8 +296,8 @@
       absl::StrCat(request.service->name, ": the time is over after ",
                    absl::FormatDuration(absl::Trunc(now - request.arrival, absl::Milliseconds(1))),
                    " and ", request.sends, " sends");
-  if (request.setback.backend != nullptr) {
-    reason += DescribeSetback(request);
+  if (request.last_failure.backend != nullptr) {
+    reason += DescribeLastFailure(request);
   }
   return MakeAnswer(code, absl::ZeroDuration(), std::move(reason));
 }
--- a/src/core/forwarding/request_state.cc
+++ b/src/core/forwarding/request_state.cc
@@ -9,7 +9,7 @@
 constexpr int kUnavailable = 503;
 
 /// Whether `status` tells a caller that the request has not run and never will.
-bool PromisesNotRun(int status) {
+bool ImpliesNotExecuted(int status) {
   return status == kRequestTimeout || status == kMisdirected || status == kTooManyRequests ||
          status == kUnavailable;
 }
@@ -17,7 +17,7 @@
 }  // namespace
 
 AnswerMeaning MeaningOf(const AttemptAnswer& answer) {
-  if (!PromisesNotRun(answer.status)) {
+  if (!ImpliesNotExecuted(answer.status)) {
     return AnswerMeaning::kFinal;
   }
   const bool not_run = answer.not_executed || answer.status == kMisdirected;
--- a/src/core/forwarding/request_state.h
+++ b/src/core/forwarding/request_state.h
@@ -13,14 +13,14 @@
 namespace ladderstream::forwarding {
 
 /// How the last attempt that ended failed its request.
-enum class SetbackKind { kNone, kRefused, kDenied, kUnreachable, kNotSent, kLost, kUnclear };
+enum class FailureKind { kNone, kRefused, kDenied, kUnreachable, kNotSent, kLost, kUnclear };
 
-struct Setback {
-  SetbackKind kind = SetbackKind::kNone;
+struct LastFailure {
+  FailureKind kind = FailureKind::kNone;
   BackendStatePtr backend;
   /// Of its answer; 0 when there was none.
   int status = 0;
-  catalog::ToldLoad told;
+  catalog::ToldLoad load;
 };
 
 struct Request {
@@ -37,12 +37,12 @@
   /// A queue that lasts beyond this is not worth joining.
   Time start_by;
   /// It waits for a slot or an owner only until then.
-  Time patience_until;
+  Time wait_deadline;
 
   /// An attempt may have run it, and cannot give its answer any more.
   bool may_have_run = false;
   /// Attempts that left, or may still leave.
-  uint32_t departures = 0;
+  uint32_t counted_attempts = 0;
   uint32_t sends = 0;
   std::vector<AttemptHandle> in_flight;
   std::vector<BackendStatePtr> failed;
@@ -50,7 +50,7 @@
   std::vector<BackendStatePtr> lost_with;
   std::optional<quarantine::Fingerprint> fingerprint;
   std::optional<DeniedAssignment> denied;
-  Setback setback;
+  LastFailure last_failure;
   SendCause next_cause = SendCause::kFirst;
 
   /// Under overload, it was let through.
@@ -73,7 +73,7 @@
   ownership::Fence fence = 0;
   Time started;
   /// An answer that takes longer is late, whatever its request waited for before.
-  Duration timely = absl::InfiniteDuration();
+  Duration late_after = absl::InfiniteDuration();
   bool sent = false;
   /// It used up a permit of the back end's limit.
   bool permitted = false;
--- a/src/core/forwarding/service_table.cc
+++ b/src/core/forwarding/service_table.cc
@@ -28,7 +28,7 @@
 constexpr Duration kLongestRest = absl::Hours(1);
 /// The level of admission is told no more often than this for a service.
 constexpr Duration kLevelInterval = absl::Seconds(1);
-/// More beliefs than this are not kept until the next TakeBeliefs.
+/// More beliefs than this are not kept until the next TakeStateChanges.
 constexpr size_t kMaxBeliefs = 1000;
 
 /// Fewer than this are put in their places one by one; more are merged.
@@ -42,7 +42,7 @@
 }
 
 /// How long ago it may have changed, for a belief's detail.
-std::string AgeOf(const RegistrationNews& news, Time now) {
+std::string AgeOf(const RegistrationUpdate& news, Time now) {
   const Duration age = now - news.changed_after;
   return age == absl::InfiniteDuration()
              ? ", nothing tells when"
@@ -61,7 +61,7 @@
 }  // namespace
 
 void ServiceTable::ChangeBackends(const catalog::BackendChanges& changes,
-                                  const RegistrationNews& news, Time now) {
+                                  const RegistrationUpdate& news, Time now) {
   const size_t registered_before = registered_count_;
   std::vector<BackendStatePtr> added;
   looked_at_ += changes.set.size() + changes.gone.size();
@@ -122,7 +122,7 @@
   }
 }
 
-void ServiceTable::Update(const catalog::Backend& backend, const RegistrationNews& news,
+void ServiceTable::Update(const catalog::Backend& backend, const RegistrationUpdate& news,
                           BackendState& state, Time now) {
   catalog::Backend previous = std::exchange(state.registration, backend);
   // What it said itself is newer than what its registration says through the store.
@@ -203,12 +203,12 @@
   state.rest_until = until;
 }
 
-void ServiceTable::MarkGone(const RegistrationNews& news, bool may_have_lapsed, BackendState& state,
-                            Time now) {
+void ServiceTable::MarkGone(const RegistrationUpdate& news, bool may_have_lapsed,
+                            BackendState& state, Time now) {
   state.registered = false;
   --registered_count_;
   state.gone_at = now;
-  const Duration grace = news.store_troubled ? settings_.lapse_grace : settings_.drain_grace;
+  const Duration grace = news.store_troubled ? settings_.expiry_grace : settings_.drain_grace;
   const Time last = may_have_lapsed ? absl::InfiniteFuture()
                                     : news.changed_after + settings_.drain_time - kWayReserve;
   StopNewWork(std::min(now + grace, last),
@@ -310,7 +310,9 @@
   return services;
 }
 
-std::vector<BackendBelief> ServiceTable::TakeBeliefs() { return std::exchange(beliefs_, {}); }
+std::vector<BackendStateChange> ServiceTable::TakeStateChanges() {
+  return std::exchange(beliefs_, {});
+}
 
 void ServiceTable::NoteLevel(ServiceState& service, Time now) {
   const uint32_t level = service.admission.level();
--- a/src/core/forwarding/service_table.h
+++ b/src/core/forwarding/service_table.h
@@ -39,7 +39,7 @@
   explicit ServiceTable(const DispatcherSettings& settings) : settings_(settings) {}
 
   /// See Dispatcher::ChangeBackends.
-  void ChangeBackends(const catalog::BackendChanges& changes, const RegistrationNews& news,
+  void ChangeBackends(const catalog::BackendChanges& changes, const RegistrationUpdate& news,
                       Time now);
 
   /// The back end itself said that it is cold for `time_left` from now on.
@@ -58,7 +58,7 @@
   std::vector<ServiceState*> Services();
   /// Back ends looked at by all changes of registrations so far.
   uint64_t looked_at() const { return looked_at_; }
-  std::vector<BackendBelief> TakeBeliefs();
+  std::vector<BackendStateChange> TakeStateChanges();
   void AddBelief(const BackendState& backend, std::string event, std::string detail);
   /// Tells when another rank of the service begins to be turned away; not with every wave.
   void NoteLevel(ServiceState& service, Time now);
@@ -67,10 +67,11 @@
   BackendStatePtr Register(const catalog::Backend& backend);
   /// `backend` proves that earlier incarnations of it have ended.
   void EndEarlier(const catalog::Backend& backend);
-  void Update(const catalog::Backend& backend, const RegistrationNews& news, BackendState& state,
+  void Update(const catalog::Backend& backend, const RegistrationUpdate& news, BackendState& state,
               Time now);
   /// `may_have_lapsed`: so many went at once that the store may have lost them by mistake.
-  void MarkGone(const RegistrationNews& news, bool may_have_lapsed, BackendState& state, Time now);
+  void MarkGone(const RegistrationUpdate& news, bool may_have_lapsed, BackendState& state,
+                Time now);
   /// Puts the new ones into the lists of their services.
   void List(const std::vector<BackendStatePtr>& added);
   /// Drops back ends that disappeared long ago.
@@ -90,7 +91,7 @@
   /// Those in `backends_` that are not registered, by when to look whether they are forgotten;
   /// some also that are registered again.
   std::multimap<Time, BackendStatePtr> gone_;
-  std::vector<BackendBelief> beliefs_;
+  std::vector<BackendStateChange> beliefs_;
   uint64_t looked_at_ = 0;
 };
 
--- a/src/core/membership/membership.h
+++ b/src/core/membership/membership.h
@@ -105,7 +105,7 @@
 struct SuspectsHeardAction {
   std::vector<quarantine::SuspectRecord> suspects;
 };
-/// Another node knows of limits of back ends: for Dispatcher::OnLimitsHeard.
+/// Another node knows of limits of back ends: for Dispatcher::OnLimitsReceived.
 struct LimitsHeardAction {
   std::vector<allowance::LimitRecord> limits;
 };
--- a/src/gateway/http/data_path.cc
+++ b/src/gateway/http/data_path.cc
@@ -61,7 +61,7 @@
 }
 
 void DataPath::ChangeBackends(const catalog::BackendChanges& changes,
-                              const forwarding::RegistrationNews& news) {
+                              const forwarding::RegistrationUpdate& news) {
   for (const catalog::Backend& backend : changes.set) {
     services_[backend.id] = backend.service;
     backends_.SetConnectionLimit(backend.id, ConnectionLimitOf(backend.service));
@@ -188,7 +188,7 @@
   }
   const Time now = resources_.clock.Now();
   observer_->OnCallerGone(found->second.message->request_id, now - found->second.message->arrival);
-  dispatcher_.OnCallerGone(handle, now);
+  dispatcher_.OnCallerDisconnected(handle, now);
   Pump();
   if (requests_.contains(handle)) {
     Forget(handle);
@@ -246,7 +246,7 @@
   told.not_executed = answer.not_executed;
   told.load = answer.load;
   told.cold_left = answer.cold_left;
-  told.rest = answer.rest;
+  told.backoff = answer.rest;
   told.leaving = answer.leaving;
   told.limit = answer.limit;
   told.closing = !answer.keeps_open;
--- a/src/gateway/http/data_path.h
+++ b/src/gateway/http/data_path.h
@@ -33,7 +33,7 @@
   /// These also tell the dispatcher.
   void SetConfiguration(std::shared_ptr<const catalog::Configuration> configuration);
   void ChangeBackends(const catalog::BackendChanges& changes,
-                      const forwarding::RegistrationNews& news);
+                      const forwarding::RegistrationUpdate& news);
   void SetNodeCount(uint32_t node_count);
 
   /// Carries out what the dispatcher has decided. To be called after anybody else has told the
--- a/src/gateway/settings/node_settings.cc
+++ b/src/gateway/settings/node_settings.cc
@@ -191,8 +191,8 @@
   forwarding->budget_slack = settings.bounds.retry_budget_slack;
   forwarding->budget_window = settings.bounds.retry_budget_window;
   reader->ReadDuration("forwarding.drain_grace", kOptional, kLong, &forwarding->drain_grace);
-  reader->ReadDuration("forwarding.lapse_grace", kOptional, kLong, &forwarding->lapse_grace);
-  reader->ReadNumber("forwarding.patience_share", kOptional, kShare, &forwarding->patience_share);
+  reader->ReadDuration("forwarding.lapse_grace", kOptional, kLong, &forwarding->expiry_grace);
+  reader->ReadNumber("forwarding.patience_share", kOptional, kShare, &forwarding->max_wait_share);
   reader->ReadNumber("forwarding.admission_floor", kOptional, kFloor, &forwarding->admission_floor);
   reader->ReadDuration("forwarding.answer_margin", kOptional, kLong, &forwarding->answer_margin);
 }
--- a/src/node/catalog_tables.h
+++ b/src/node/catalog_tables.h
@@ -28,7 +28,7 @@
   struct Handlers {
     std::function<void(const ConfigurationPtr&)> on_configuration;
     /// Also called with no changes, when what the configuration says of their services may have.
-    std::function<void(const catalog::BackendChanges&, const forwarding::RegistrationNews&)>
+    std::function<void(const catalog::BackendChanges&, const forwarding::RegistrationUpdate&)>
         on_backends;
   };
 
--- a/src/node/control_plane.cc
+++ b/src/node/control_plane.cc
@@ -164,7 +164,7 @@
                   listener_->OnConfiguration(configuration);
                 },
                 [this](const catalog::BackendChanges& changes,
-                       const forwarding::RegistrationNews& news) {
+                       const forwarding::RegistrationUpdate& news) {
                   listener_->OnBackends(changes, news);
                   TellCatalog(changes);
                 }}),
--- a/src/node/control_plane.h
+++ b/src/node/control_plane.h
@@ -36,7 +36,7 @@
 
   virtual void OnConfiguration(std::shared_ptr<const catalog::Configuration> configuration) = 0;
   virtual void OnBackends(const catalog::BackendChanges& changes,
-                          const forwarding::RegistrationNews& news) = 0;
+                          const forwarding::RegistrationUpdate& news) = 0;
   virtual void OnOwnership(std::shared_ptr<const ownership::OwnershipMap> map) = 0;
   virtual void OnMapConfirmed(Time until) = 0;
   /// All nodes that take part, this one included, by incarnation.
--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -134,7 +134,7 @@
 }
 
 void Node::OnBackends(const catalog::BackendChanges& changes,
-                      const forwarding::RegistrationNews& news) {
+                      const forwarding::RegistrationUpdate& news) {
   data_path_.ChangeBackends(changes, news);
   LogBeliefs();
 }
@@ -166,7 +166,7 @@
 }
 
 void Node::OnLimits(const std::vector<allowance::LimitRecord>& limits) {
-  if (dispatcher_.OnLimitsHeard(limits, Now())) {
+  if (dispatcher_.OnLimitsReceived(limits, Now())) {
     TellLimits(/*own=*/false);
     data_path_.Pump();
   }
@@ -190,7 +190,7 @@
 }
 
 void Node::FollowLimits() {
-  if (dispatcher_.TakeLimitNews()) {
+  if (dispatcher_.TakeLimitsChanged()) {
     TellLimits(/*own=*/true);
   }
   const std::vector<allowance::PermitQuestion> questions = dispatcher_.TakePermitQuestions();
@@ -211,7 +211,7 @@
   return dispatcher_.TakeLoad();
 }
 
-void Node::LogBeliefs() { beliefs_.OnBackendBeliefs(dispatcher_.TakeBeliefs()); }
+void Node::LogBeliefs() { beliefs_.OnBackendBeliefs(dispatcher_.TakeStateChanges()); }
 
 bool Node::IsReady() {
   const bool serves = control_plane_.HasConfiguration() && dispatcher_.CanServe(Now());
@@ -233,7 +233,7 @@
   state.ready = IsReady();
   state.retry_budget_left = dispatcher_.RetriesLeft(Now());
   state.requests_queued = dispatcher_.RequestsWaiting();
-  state.least_admission_share = dispatcher_.LeastAdmissionShare();
+  state.least_admission_share = dispatcher_.MinAdmissionShare();
   state.requests_held = dispatcher_.suspects().CountHeld(Now());
   for (const auto& [backend, rate] : LimitsInForce()) {
     ++state.backends_limited;
@@ -254,7 +254,7 @@
 
 void Node::OnHousekeeping() {
   dispatcher_.suspects().Forget(Now());
-  dispatcher_.ForgetLimits(Now());
+  dispatcher_.ExpireLimits(Now());
   LogBeliefs();
   log_.OnTick(Now());
   if (++housekeeping_turns_ % kTurnsBetweenStoreCalls == 0) {
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -39,7 +39,7 @@
   // ControlPlaneListener
   void OnConfiguration(std::shared_ptr<const catalog::Configuration> configuration) override;
   void OnBackends(const catalog::BackendChanges& changes,
-                  const forwarding::RegistrationNews& news) override;
+                  const forwarding::RegistrationUpdate& news) override;
   void OnOwnership(std::shared_ptr<const ownership::OwnershipMap> map) override;
   void OnMapConfirmed(Time until) override;
   void OnMembers(const std::vector<uint64_t>& members) override;
--- a/src/observability/belief_log.cc
+++ b/src/observability/belief_log.cc
@@ -141,9 +141,9 @@
        EventField(FieldName::kAgeMs, age), EventField(FieldName::kCause, source)});
 }
 
-void BeliefLog::OnBackendBeliefs(const std::vector<forwarding::BackendBelief>& beliefs) {
+void BeliefLog::OnBackendBeliefs(const std::vector<forwarding::BackendStateChange>& beliefs) {
   std::map<std::string, std::vector<std::string>> together;
-  for (const forwarding::BackendBelief& belief : beliefs) {
+  for (const forwarding::BackendStateChange& belief : beliefs) {
     if (IsOfRegistration(belief.event)) {
       together[belief.event].push_back(belief.backend);
     }
@@ -160,14 +160,14 @@
                    EventField(FieldName::kDetail, ListFrom(backends, first))});
     }
   }
-  for (const forwarding::BackendBelief& belief : beliefs) {
+  for (const forwarding::BackendStateChange& belief : beliefs) {
     if (!together.contains(belief.event)) {
       OnBackendBelief(belief);
     }
   }
 }
 
-void BeliefLog::OnBackendBelief(const forwarding::BackendBelief& belief) {
+void BeliefLog::OnBackendBelief(const forwarding::BackendStateChange& belief) {
   metrics_->CountBelief(belief.event);
   const auto known = backends_.find(belief.backend);
   log_->Write(
--- a/src/observability/request_observer.cc
+++ b/src/observability/request_observer.cc
@@ -67,7 +67,7 @@
                  answer.not_executed ? AttemptResult::kNotExecuted : AttemptResult::kAnswered, {});
   if (attempt != nullptr) {
     attempt->status = answer.status;
-    attempt->rest = answer.rest;
+    attempt->rest = answer.backoff;
     attempt->leaving = answer.leaving;
     attempt->limit_per_second = answer.limit.rate;
   }
--- a/tests/unit/drain_bound/said_leaving_test.cc
+++ b/tests/unit/drain_bound/said_leaving_test.cc
@@ -98,10 +98,10 @@
   AddBackends("cards", {"a"});
   const SendDecision one = StartAndSend("/cards/x");
   const SendDecision other = StartAndSend("/cards/x");
-  dispatcher.TakeBeliefs();
+  dispatcher.TakeStateChanges();
   AnswerLeaving(one);
   AnswerLeaving(other);
-  const std::vector<BackendBelief> beliefs = dispatcher.TakeBeliefs();
+  const std::vector<BackendStateChange> beliefs = dispatcher.TakeStateChanges();
   BOOST_TEST_REQUIRE(beliefs.size() == 1U);
   BOOST_TEST(beliefs.front().event == "draining");
 }
--- a/tests/unit/forwarding/caller_gone_test.cc
+++ b/tests/unit/forwarding/caller_gone_test.cc
@@ -18,25 +18,25 @@
 BOOST_AUTO_TEST_CASE(repeatable_attempt_is_cancelled) {
   const SendDecision send = StartAndSend("/cards/1");
   Sent(send);
-  dispatcher.OnCallerGone(last, now);
+  dispatcher.OnCallerDisconnected(last, now);
   BOOST_TEST(Only<CancelDecision>().attempt == send.attempt);
   Advance(absl::Seconds(5));
-  BOOST_TEST(Quiet());
+  BOOST_TEST(HasNoDecisions());
 }
 
 BOOST_AUTO_TEST_CASE(at_most_once_attempt_finishes_and_is_not_sent_again) {
   const SendDecision send = StartAndSend("/books/1");
   Sent(send);
-  dispatcher.OnCallerGone(last, now);
-  BOOST_TEST(Quiet());
+  dispatcher.OnCallerDisconnected(last, now);
+  BOOST_TEST(HasNoDecisions());
   Refuse(send);
   Advance(absl::Seconds(5));
-  BOOST_TEST(Quiet());
+  BOOST_TEST(HasNoDecisions());
 }
 
 BOOST_AUTO_TEST_CASE(at_most_once_attempt_that_has_not_left_is_cancelled) {
   const SendDecision send = StartAndSend("/books/1");
-  dispatcher.OnCallerGone(last, now);
+  dispatcher.OnCallerDisconnected(last, now);
   BOOST_TEST(Only<CancelDecision>().attempt == send.attempt);
 }
 
@@ -46,7 +46,7 @@
   for (int i = 0; i < 10; ++i) {
     held.push_back(StartAndSend("/books/1"));
     Sent(held.back());
-    dispatcher.OnCallerGone(last, now);
+    dispatcher.OnCallerDisconnected(last, now);
   }
   const SendDecision busy = StartAndSend("/books/1");
   for (const SendDecision& send : held) {
@@ -62,12 +62,12 @@
   // More than may wait at a time: each must give its place back.
   for (int i = 0; i < 100; ++i) {
     Start("/books/1");
-    BOOST_REQUIRE(Quiet());
-    dispatcher.OnCallerGone(last, now);
+    BOOST_REQUIRE(HasNoDecisions());
+    dispatcher.OnCallerDisconnected(last, now);
   }
   AddBackends("books", {"b-3"});
   Advance(absl::Seconds(5));
-  BOOST_TEST(Quiet());
+  BOOST_TEST(HasNoDecisions());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/unit/forwarding/choice_test.cc
+++ b/tests/unit/forwarding/choice_test.cc
@@ -114,7 +114,7 @@
     BOOST_TEST(StartAndSend("/cards/1").backend != first.backend);
   }
   bool ejected = false;
-  for (const BackendBelief& belief : dispatcher.TakeBeliefs()) {
+  for (const BackendStateChange& belief : dispatcher.TakeStateChanges()) {
     ejected = ejected || (belief.event == "ejected" && belief.backend == first.backend);
   }
   BOOST_TEST(ejected);
--- a/tests/unit/forwarding/cold_test.cc
+++ b/tests/unit/forwarding/cold_test.cc
@@ -142,7 +142,7 @@
   const SendDecision first = StartAndSend("/books/1");
   Sent(first);
   Refuse(first);
-  BOOST_TEST(Quiet());
+  BOOST_TEST(HasNoDecisions());
   catalog::Backend left = MakeBackend("b-1", "books");
   left.evacuated = true;
   AddBackend(left);
--- a/tests/unit/forwarding/deadline_test.cc
+++ b/tests/unit/forwarding/deadline_test.cc
@@ -35,7 +35,7 @@
   const SendDecision send = harness.StartAndSend("/cards/1", absl::Seconds(1));
   harness.Sent(send);
   harness.Advance(absl::Milliseconds(999));
-  BOOST_TEST(harness.Quiet());
+  BOOST_TEST(harness.HasNoDecisions());
   harness.Advance(absl::Milliseconds(1));
   const auto decisions = harness.dispatcher.TakeDecisions();
   BOOST_REQUIRE_EQUAL(decisions.size(), 2U);
@@ -43,7 +43,7 @@
   BOOST_TEST(std::get<AnswerDecision>(decisions[1].decision).status == 504);
   harness.Answer(send);
   harness.Advance(absl::Seconds(5));
-  BOOST_TEST(harness.Quiet());
+  BOOST_TEST(harness.HasNoDecisions());
 }
 
 BOOST_AUTO_TEST_CASE(at_most_once_attempt_is_left_to_finish_unheard) {
@@ -52,7 +52,7 @@
   Advance(absl::Seconds(1));
   BOOST_TEST(Only<AnswerDecision>().status == 504);
   Answer(send);
-  BOOST_TEST(Quiet());
+  BOOST_TEST(HasNoDecisions());
 }
 
 BOOST_AUTO_TEST_CASE(request_that_never_left_is_refused_with_its_promise_kept) {
--- a/tests/unit/forwarding/dispatcher_harness.cc
+++ b/tests/unit/forwarding/dispatcher_harness.cc
@@ -30,7 +30,7 @@
   settings.zone = std::string("a");
   settings.answer_margin = absl::ZeroDuration();
   // The tests name times that follow from this.
-  settings.patience_share = 0.25;
+  settings.max_wait_share = 0.25;
   return settings;
 }
 
--- a/tests/unit/forwarding/dispatcher_harness.h
+++ b/tests/unit/forwarding/dispatcher_harness.h
@@ -74,7 +74,7 @@
     }
     return found;
   }
-  bool Quiet() { return dispatcher.TakeDecisions().empty(); }
+  bool HasNoDecisions() { return dispatcher.TakeDecisions().empty(); }
 
   Time now = absl::FromUnixSeconds(1000);
   Dispatcher dispatcher;
--- a/tests/unit/forwarding/drain_test.cc
+++ b/tests/unit/forwarding/drain_test.cc
@@ -37,7 +37,7 @@
   const SendDecision first = StartAndSend("/books/1");
   Sent(first);
   Refuse(first);
-  BOOST_TEST(Quiet());
+  BOOST_TEST(HasNoDecisions());
   Drain("b-1");
   Advance(absl::Seconds(1));
   BOOST_TEST(Only<AnswerDecision>().status == 503);
--- a/tests/unit/forwarding/fleet_retry_budget_test.cc
+++ b/tests/unit/forwarding/fleet_retry_budget_test.cc
@@ -27,7 +27,7 @@
   kFleeFromKilledNodes,
 };
 
-struct FleetPlay {
+struct FleetScenario {
   Callers callers = Callers::kStay;
   size_t nodes = 70;
   double requests_per_second = 1100;
@@ -38,16 +38,16 @@
 
 class Fleet {
  public:
-  explicit Fleet(const FleetPlay& play)
-      : play_(play),
-        random_(play.seed),
-        budgets_(play.nodes),
-        started_(play.nodes, kStart),
-        weights_(play.nodes, 1) {
+  explicit Fleet(const FleetScenario& scenario)
+      : scenario_(scenario),
+        random_(scenario.seed),
+        budgets_(scenario.nodes),
+        started_(scenario.nodes, kStart),
+        weights_(scenario.nodes, 1) {
     std::uniform_real_distribution<double> moment(0, 8);
     fail_at_ = kStart + absl::Seconds(12);
     move_at_ = fail_at_ + absl::Seconds(moment(random_));
-    if (play.callers == Callers::kUneven) {
+    if (scenario.callers == Callers::kUneven) {
       std::uniform_real_distribution<double> weight(0.1, 4);
       std::generate(weights_.begin(), weights_.end(), [&] { return weight(random_); });
     }
@@ -55,26 +55,26 @@
 
   /// The largest share of the fleet's budget that any window used.
   double Run() {
-    std::exponential_distribution<double> gap(play_.requests_per_second);
+    std::exponential_distribution<double> gap(scenario_.requests_per_second);
     while (now_ < kStart + absl::Seconds(32)) {
       now_ += absl::Seconds(gap(random_));
       MoveCallers();
       std::discrete_distribution<size_t> draw(weights_.begin(), weights_.end());
       Arrive(draw(random_));
     }
-    return most_used_;
+    return max_usage_;
   }
 
  private:
   void MoveCallers() {
-    if (play_.callers == Callers::kMove) {
+    if (scenario_.callers == Callers::kMove) {
       const bool moved = now_ > move_at_;
-      for (size_t node = 0; node < play_.nodes; ++node) {
-        weights_[node] = moved == (node < play_.nodes / 2) ? 0.05 : 1;
+      for (size_t node = 0; node < scenario_.nodes; ++node) {
+        weights_[node] = moved == (node < scenario_.nodes / 2) ? 0.05 : 1;
       }
-    } else if (play_.callers == Callers::kFleeFromKilledNodes) {
+    } else if (scenario_.callers == Callers::kFleeFromKilledNodes) {
       const bool down = now_ > move_at_ && now_ < move_at_ + absl::Milliseconds(1500);
-      for (size_t node = 0; node < play_.nodes * 3 / 5; ++node) {
+      for (size_t node = 0; node < scenario_.nodes * 3 / 5; ++node) {
         weights_[node] = down ? 0 : 1;
         if (down && started_[node] < move_at_) {
           budgets_[node] = allowance::RetryBudget();
@@ -87,23 +87,23 @@
   void Arrive(size_t node) {
     allowance::RetryBudget& budget = budgets_[node];
     const allowance::RetryLimits limits{kRatio * kRatioInUse,
-                                        kSlack * kSlackInUse / static_cast<double>(play_.nodes),
+                                        kSlack * kSlackInUse / static_cast<double>(scenario_.nodes),
                                         kWindow, started_[node]};
     budget.AddRequest(limits, now_);
     requests_.push_back(now_);
-    constexpr int kMostRetries = 2;
-    std::bernoulli_distribution fails(play_.failure_share);
-    for (int retry = 0; retry < kMostRetries && Failing() && fails(random_); ++retry) {
+    constexpr int kMaxRetries = 2;
+    std::bernoulli_distribution fails(scenario_.failure_share);
+    for (int retry = 0; retry < kMaxRetries && Failing() && fails(random_); ++retry) {
       if (!budget.Allows(limits, 1, now_)) {
         return;
       }
       budget.Charge(now_);
       retries_.push_back(now_);
-      NoteUse();
+      RecordUsage();
     }
   }
 
-  bool Failing() const { return now_ > fail_at_ && now_ < fail_at_ + play_.failing; }
+  bool Failing() const { return now_ > fail_at_ && now_ < fail_at_ + scenario_.failing; }
 
   static double CountIn(const std::vector<Time>& times, Time start, Time end) {
     return static_cast<double>(std::distance(std::upper_bound(times.begin(), times.end(), start),
@@ -111,19 +111,19 @@
   }
 
   /// The requests count in this window, half a window earlier or a window earlier.
-  void NoteUse() {
+  void RecordUsage() {
     double requests = 0;
     for (const double back : {0.0, 0.5, 1.0}) {
       const Time end = now_ - back * kWindow;
       requests = std::max(requests, CountIn(requests_, end - kWindow, end));
     }
     const double used = CountIn(retries_, now_ - kWindow, now_) / (kRatio * requests + kSlack);
-    most_used_ = std::max(most_used_, used);
+    max_usage_ = std::max(max_usage_, used);
   }
 
   static constexpr Time kStart = absl::UnixEpoch();
 
-  const FleetPlay play_;
+  const FleetScenario scenario_;
   std::mt19937_64 random_;
   std::vector<allowance::RetryBudget> budgets_;
   std::vector<Time> started_;
@@ -133,50 +133,50 @@
   Time now_ = kStart;
   Time fail_at_;
   Time move_at_;
-  double most_used_ = 0;
+  double max_usage_ = 0;
 };
 
-double MostUsed(FleetPlay play) {
+double MaxBudgetUsage(FleetScenario scenario) {
   double most = 0;
-  for (play.seed = 1; play.seed <= kSeeds; ++play.seed) {
-    most = std::max(most, Fleet(play).Run());
+  for (scenario.seed = 1; scenario.seed <= kSeeds; ++scenario.seed) {
+    most = std::max(most, Fleet(scenario).Run());
   }
   BOOST_TEST_MESSAGE("of the budget used at most: " << most);
   return most;
 }
 
-FleetPlay With(Callers callers) {
-  FleetPlay play;
-  play.callers = callers;
-  return play;
+FleetScenario With(Callers callers) {
+  FleetScenario scenario;
+  scenario.callers = callers;
+  return scenario;
 }
 
 BOOST_AUTO_TEST_SUITE(fleet_retry_budget)
 
 // Where a node may keep a whole window's retries: 1.34, and 1.18.
 BOOST_AUTO_TEST_CASE(callers_that_move_while_requests_fail_are_not_retried_for_twice) {
-  BOOST_TEST(MostUsed(With(Callers::kMove)) <= 1);
-  BOOST_TEST(MostUsed(With(Callers::kFleeFromKilledNodes)) <= 1);
+  BOOST_TEST(MaxBudgetUsage(With(Callers::kMove)) <= 1);
+  BOOST_TEST(MaxBudgetUsage(With(Callers::kFleeFromKilledNodes)) <= 1);
 }
 
 BOOST_AUTO_TEST_CASE(a_long_failure_keeps_the_bound) {
-  FleetPlay play = With(Callers::kMove);
-  play.failing = absl::Seconds(14);
-  BOOST_TEST(MostUsed(play) <= 1);
+  FleetScenario scenario = With(Callers::kMove);
+  scenario.failing = absl::Seconds(14);
+  BOOST_TEST(MaxBudgetUsage(scenario) <= 1);
 }
 
 BOOST_AUTO_TEST_CASE(few_nodes_with_few_requests_keep_the_bound) {
-  FleetPlay play = With(Callers::kMove);
-  play.nodes = 11;
-  play.requests_per_second = 70;
-  BOOST_TEST(MostUsed(play) <= 1);
+  FleetScenario scenario = With(Callers::kMove);
+  scenario.nodes = 11;
+  scenario.requests_per_second = 70;
+  BOOST_TEST(MaxBudgetUsage(scenario) <= 1);
 }
 
 // So what is cut into shares by node is not what binds.
 BOOST_AUTO_TEST_CASE(uneven_demand_can_use_as_much_as_even_demand) {
-  const double even = MostUsed(With(Callers::kStay));
+  const double even = MaxBudgetUsage(With(Callers::kStay));
   BOOST_TEST(even > 0.8);
-  BOOST_TEST(MostUsed(With(Callers::kUneven)) > even - 0.03);
+  BOOST_TEST(MaxBudgetUsage(With(Callers::kUneven)) > even - 0.03);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/unit/forwarding/fuzz_test.cc
+++ b/tests/unit/forwarding/fuzz_test.cc
@@ -12,19 +12,19 @@
 namespace ladderstream::forwarding {
 namespace {
 
-struct Seen {
+struct ObservedRequest {
   Time answer_by;
   bool at_most_once = false;
   /// Attempts of which no refusal, and no failure before sending, is known.
   int may_run = 0;
   std::set<std::string> reached;
   bool finished = false;
-  bool gone = false;
+  bool disconnected = false;
 };
 
-class Fuzz : public DispatcherHarness {
+class RandomizedDispatcher : public DispatcherHarness {
  public:
-  explicit Fuzz(uint64_t seed) : random_(seed) {
+  explicit RandomizedDispatcher(uint64_t seed) : random_(seed) {
     AddBackends("cards", {"c-1", "c-2", "c-3", "c-4"});
     AddBackends("books", {"b-1", "b-2", "b-3", "b-4"});
     AddBackends("scripts", {"s-1", "s-2"});
@@ -44,8 +44,8 @@
     }
     Advance(absl::Seconds(10));
     Check();
-    for (const auto& [handle, seen] : requests_) {
-      BOOST_REQUIRE(seen.finished || seen.gone);
+    for (const auto& [handle, observed] : requests_) {
+      BOOST_REQUIRE(observed.finished || observed.disconnected);
     }
     BOOST_TEST((dispatcher.NextWake() == absl::InfiniteFuture()));
   }
@@ -103,8 +103,9 @@
       default:
         if (!requests_.empty()) {
           const RequestHandle handle = DrawFrom(requests_)->first;
-          requests_[handle].gone = requests_[handle].gone || !requests_[handle].finished;
-          dispatcher.OnCallerGone(handle, now);
+          requests_[handle].disconnected =
+              requests_[handle].disconnected || !requests_[handle].finished;
+          dispatcher.OnCallerDisconnected(handle, now);
         }
     }
   }
@@ -115,28 +116,28 @@
     }
     const auto entry = DrawFrom(open_);
     const SendDecision send = entry->second;
-    Seen& seen = requests_[owners_[send.attempt]];
+    ObservedRequest& observed = requests_[owners_[send.attempt]];
     const bool sent = sent_.contains(send.attempt);
     if (!sent && Draw(4) == 0) {
       open_.erase(entry);
-      --seen.may_run;
+      --observed.may_run;
       Fail(send, Draw(2) == 0 ? AttemptFailure::kConnectRefused : AttemptFailure::kNotSent);
       return;
     }
     if (!sent) {
       sent_.insert(send.attempt);
-      seen.reached.insert(send.backend);
+      observed.reached.insert(send.backend);
       Sent(send);
       return;
     }
     open_.erase(entry);
     switch (Draw(6)) {
       case 0:
-        --seen.may_run;
+        --observed.may_run;
         Refuse(send);
         break;
       case 1:
-        --seen.may_run;
+        --observed.may_run;
         Answer(send, 421);
         break;
       case 2:
@@ -152,40 +153,40 @@
 
   void Check() {
     for (const RequestDecision& made : dispatcher.TakeDecisions()) {
-      Seen& seen = requests_[made.request];
-      BOOST_REQUIRE(!seen.finished);
+      ObservedRequest& observed = requests_[made.request];
+      BOOST_REQUIRE(!observed.finished);
       if (const auto* send = std::get_if<SendDecision>(&made.decision)) {
-        CheckSend(made.request, *send, seen);
+        CheckSend(made.request, *send, observed);
       } else if (const auto* cancel = std::get_if<CancelDecision>(&made.decision)) {
         if (!sent_.contains(cancel->attempt)) {
-          --seen.may_run;
+          --observed.may_run;
         }
         open_.erase(cancel->attempt);
       } else {
-        seen.finished = true;
-        BOOST_REQUIRE(!seen.gone);
-        BOOST_REQUIRE((now <= seen.answer_by));
+        observed.finished = true;
+        BOOST_REQUIRE(!observed.disconnected);
+        BOOST_REQUIRE((now <= observed.answer_by));
         if (const auto* answer = std::get_if<AnswerDecision>(&made.decision)) {
           BOOST_REQUIRE(!answer->reason.empty());
-          BOOST_REQUIRE((answer->status != 503 || seen.may_run == 0));
-          BOOST_REQUIRE((answer->status == 503 || seen.may_run > 0));
+          BOOST_REQUIRE((answer->status != 503 || observed.may_run == 0));
+          BOOST_REQUIRE((answer->status == 503 || observed.may_run > 0));
         }
       }
     }
   }
 
-  void CheckSend(RequestHandle request, const SendDecision& send, Seen& seen) {
-    BOOST_REQUIRE(!seen.gone);
-    BOOST_REQUIRE((!seen.at_most_once || seen.may_run == 0));
-    BOOST_REQUIRE_LT(seen.reached.size(), 3U);
-    BOOST_REQUIRE((send.answer_by <= seen.answer_by && now < send.answer_by));
-    ++seen.may_run;
+  void CheckSend(RequestHandle request, const SendDecision& send, ObservedRequest& observed) {
+    BOOST_REQUIRE(!observed.disconnected);
+    BOOST_REQUIRE((!observed.at_most_once || observed.may_run == 0));
+    BOOST_REQUIRE_LT(observed.reached.size(), 3U);
+    BOOST_REQUIRE((send.answer_by <= observed.answer_by && now < send.answer_by));
+    ++observed.may_run;
     open_.emplace(send.attempt, send);
     owners_.emplace(send.attempt, request);
   }
 
   std::mt19937_64 random_;
-  std::map<RequestHandle, Seen> requests_;
+  std::map<RequestHandle, ObservedRequest> requests_;
   std::map<AttemptHandle, SendDecision> open_;
   std::map<AttemptHandle, RequestHandle> owners_;
   std::set<AttemptHandle> sent_;
@@ -193,7 +194,7 @@
 
 BOOST_AUTO_TEST_CASE(no_order_of_events_breaks_a_promise) {
   for (uint64_t seed = 1; seed <= 12; ++seed) {
-    BOOST_TEST_CONTEXT("seed " << seed) { Fuzz(seed).Run(); }
+    BOOST_TEST_CONTEXT("seed " << seed) { RandomizedDispatcher(seed).Run(); }
   }
 }
 
--- a/tests/unit/forwarding/hedge_test.cc
+++ b/tests/unit/forwarding/hedge_test.cc
@@ -27,7 +27,7 @@
   const SendDecision first = StartAndSend("/cards/1");
   Sent(first);
   Advance(absl::Milliseconds(190));
-  BOOST_TEST(Quiet());
+  BOOST_TEST(HasNoDecisions());
   Advance(absl::Milliseconds(20));
   const auto second = Only<SendDecision>();
   BOOST_TEST((second.cause == SendCause::kHedge));
@@ -39,7 +39,7 @@
   BOOST_TEST(std::get<CancelDecision>(decisions[0].decision).attempt == first.attempt);
   BOOST_TEST(std::get<RelayDecision>(decisions[1].decision).attempt == second.attempt);
   Answer(first);
-  BOOST_TEST(Quiet());
+  BOOST_TEST(HasNoDecisions());
 }
 
 BOOST_AUTO_TEST_CASE(failed_attempt_leaves_the_request_to_the_other) {
@@ -49,7 +49,7 @@
   const auto second = Only<SendDecision>();
   Sent(second);
   Fail(second, AttemptFailure::kLost);
-  BOOST_TEST(Quiet());
+  BOOST_TEST(HasNoDecisions());
   Answer(first);
   BOOST_TEST(Only<RelayDecision>().attempt == first.attempt);
 }
@@ -76,7 +76,7 @@
   const SendDecision first = StartAndSend("/books/1");
   Sent(first);
   Advance(absl::Milliseconds(1900));
-  BOOST_TEST(Quiet());
+  BOOST_TEST(HasNoDecisions());
 }
 
 BOOST_AUTO_TEST_CASE(hedges_respect_max_attempts) {
@@ -87,7 +87,7 @@
   const SendDecision first = StartAndSend("/cards/1");
   Sent(first);
   Advance(absl::Milliseconds(1900));
-  BOOST_TEST(Quiet());
+  BOOST_TEST(HasNoDecisions());
 }
 
 BOOST_AUTO_TEST_CASE(hedges_leave_budget_for_requests_that_failed) {
@@ -98,7 +98,7 @@
   const SendDecision send = harness.StartAndSend("/cards/1");
   harness.Sent(send);
   harness.Advance(absl::Milliseconds(1000));
-  BOOST_TEST(harness.Quiet());
+  BOOST_TEST(harness.HasNoDecisions());
   harness.Fail(send, AttemptFailure::kLost);
   harness.Only<SendDecision>();
 }
--- a/tests/unit/forwarding/ill_back_end_test.cc
+++ b/tests/unit/forwarding/ill_back_end_test.cc
@@ -129,7 +129,7 @@
   const SendDecision first = harness.StartAndSend("/scripts/1", absl::Seconds(2), 77);
   harness.Sent(first);
   harness.Refuse(first, 503, 0, 1);
-  BOOST_TEST(harness.Quiet());
+  BOOST_TEST(harness.HasNoDecisions());
   harness.Advance(absl::Milliseconds(100));
   BOOST_TEST((harness.Only<SendDecision>().cause == SendCause::kAfterRefusal));
 }
--- a/tests/unit/forwarding/overload_test.cc
+++ b/tests/unit/forwarding/overload_test.cc
@@ -10,7 +10,7 @@
 constexpr Duration kGap = absl::Milliseconds(10);
 constexpr Duration kWork = absl::Milliseconds(100);
 /// Of so many requests, ill back ends serve one.
-constexpr uint64_t kIllServeOneOf = 3;
+constexpr uint64_t kFaultyServeOneOf = 3;
 
 /// A request each 10 ms, each answered after 100 ms; every answer tells of `waiting` requests
 /// beside two slots.
@@ -23,30 +23,30 @@
     for (int i = 0; i < requests; ++i) {
       Start("/cards/1");
       for (const RequestDecision& decided : dispatcher.TakeDecisions()) {
-        Note(decided.decision, refused);
+        HandleDecision(decided.decision, refused);
       }
       Advance(kGap);
-      while (!under_way.empty() && now - under_way.front().since >= kWork) {
-        const SendDecision send = under_way.front().send;
-        under_way.pop_front();
+      while (!in_flight.empty() && now - in_flight.front().since >= kWork) {
+        const SendDecision send = in_flight.front().send;
+        in_flight.pop_front();
         Answer(send, 200, 2, waiting);
       }
     }
     return refused;
   }
 
-  void Note(const Decision& decision, std::vector<AnswerDecision>& refused) {
+  void HandleDecision(const Decision& decision, std::vector<AnswerDecision>& refused) {
     if (const auto* send = std::get_if<SendDecision>(&decision)) {
       Sent(*send);
-      if (++sends % kIllServeOneOf != 0 && ill) {
+      if (++sends % kFaultyServeOneOf != 0 && faulty) {
         // With free slots and no queue, by its own word.
         Refuse(*send, 503, 0, 0);
         for (const RequestDecision& decided : dispatcher.TakeDecisions()) {
-          Note(decided.decision, refused);
+          HandleDecision(decided.decision, refused);
         }
         return;
       }
-      under_way.push_back({*send, now});
+      in_flight.push_back({*send, now});
     } else if (const auto* answer = std::get_if<AnswerDecision>(&decision)) {
       if (answer->reason.find("the service is overloaded") != std::string::npos) {
         refused.push_back(*answer);
@@ -54,14 +54,14 @@
     }
   }
 
-  struct UnderWay {
+  struct InFlight {
     SendDecision send;
     Time since;
   };
-  std::deque<UnderWay> under_way;
+  std::deque<InFlight> in_flight;
   uint64_t sends = 0;
   /// Back ends turn most requests away though they have room.
-  bool ill = false;
+  bool faulty = false;
 };
 
 BOOST_FIXTURE_TEST_SUITE(overload, Flood)
@@ -83,17 +83,17 @@
 BOOST_AUTO_TEST_CASE(an_ill_service_whose_queues_are_short_is_let_alone) {
   Play(100, 0);
   BOOST_TEST(!Play(100, 20).empty());
-  ill = true;
+  faulty = true;
   Play(200, 0);
   BOOST_TEST(Play(200, 0).empty());
 }
 
 BOOST_AUTO_TEST_CASE(the_level_is_told_when_it_changes) {
-  BOOST_TEST(dispatcher.LeastAdmissionShare() == 1);
+  BOOST_TEST(dispatcher.MinAdmissionShare() == 1);
   Play(100, 20);
-  BOOST_TEST(dispatcher.LeastAdmissionShare() < 1);
+  BOOST_TEST(dispatcher.MinAdmissionShare() < 1);
   std::vector<std::string> events;
-  for (const BackendBelief& belief : dispatcher.TakeBeliefs()) {
+  for (const BackendStateChange& belief : dispatcher.TakeStateChanges()) {
     if (belief.backend == "cards") {
       events.push_back(belief.event);
     }
--- a/tests/unit/forwarding/retry_budget_test.cc
+++ b/tests/unit/forwarding/retry_budget_test.cc
@@ -26,7 +26,7 @@
   harness.AddBackends("cards", {"c-1", "c-2", "c-3", "c-4", "c-5", "c-6"});
   std::vector<Time> requests;
   std::vector<Time> retries;
-  size_t most_retries = 0;
+  size_t max_retries = 0;
   // A calm time, a flood that all fails, and a calm time again.
   for (int i = 0; i < 6000; ++i) {
     const bool flood = i >= 500 && i < 5500;
@@ -55,10 +55,10 @@
     const size_t sent_again = CountIn(retries, harness.now - window, window);
     BOOST_REQUIRE_LE(static_cast<double>(sent_again),
                      0.2 * static_cast<double>(allowing) + 60.0 / 4);
-    most_retries = std::max(most_retries, sent_again);
+    max_retries = std::max(max_retries, sent_again);
   }
   // The bound was put to the test.
-  BOOST_TEST(most_retries > 100U);
+  BOOST_TEST(max_retries > 100U);
 }
 
 BOOST_AUTO_TEST_CASE(slack_of_a_new_process_grows_within_a_window) {
--- a/tests/unit/forwarding/retry_test.cc
+++ b/tests/unit/forwarding/retry_test.cc
@@ -30,7 +30,7 @@
   BOOST_TEST(timed_out.status == 504);
   BOOST_TEST((timed_out.code == ResultCode::kTimedOut));
   Advance(absl::Seconds(5));
-  BOOST_TEST(Quiet());
+  BOOST_TEST(HasNoDecisions());
 }
 
 BOOST_AUTO_TEST_CASE(lost_counts_as_left_though_nothing_said_that_it_was_sent) {
@@ -163,7 +163,7 @@
   const RequestHandle first = last;
   Start("/urgent/1");
   const RequestHandle second = last;
-  BOOST_TEST(Quiet());
+  BOOST_TEST(HasNoDecisions());
   AddBackends("cards", {"c-5"});
   const auto decisions = dispatcher.TakeDecisions();
   BOOST_REQUIRE_EQUAL(decisions.size(), 2U);
--- a/tests/unit/forwarding/sharded_test.cc
+++ b/tests/unit/forwarding/sharded_test.cc
@@ -50,7 +50,7 @@
   Own("s-1", {{0, 100}});
   Begin();
   Advance(absl::Milliseconds(30));
-  BOOST_TEST(Quiet());
+  BOOST_TEST(HasNoDecisions());
   BOOST_TEST(dispatcher.RequestsWaiting() == 1U);
   Own("s-2");
   BOOST_TEST(Only<SendDecision>().backend == "s-2");
@@ -62,7 +62,7 @@
   Begin();
   const Time start = now;
   Advance(absl::Milliseconds(99));
-  BOOST_TEST(Quiet());
+  BOOST_TEST(HasNoDecisions());
   Advance(absl::Milliseconds(2));
   const auto answer = Only<AnswerDecision>();
   BOOST_TEST(answer.status == 503);
@@ -75,7 +75,7 @@
   const SendDecision first = Send();
   Sent(first);
   Answer(first, 421);
-  BOOST_TEST(Quiet());
+  BOOST_TEST(HasNoDecisions());
   BOOST_REQUIRE_EQUAL(dispatcher.TakeLoad().at(0).denied_key.value_or(0), kKey);
   Own("s-2");
   const auto second = Only<SendDecision>();
@@ -107,7 +107,7 @@
   const SendDecision first = Send();
   Fail(first, AttemptFailure::kConnectRefused);
   Begin();
-  BOOST_TEST(Quiet());
+  BOOST_TEST(HasNoDecisions());
   Advance(absl::Milliseconds(101));
   std::vector<AnswerDecision> answers;
   for (const RequestDecision& decision : dispatcher.TakeDecisions()) {
@@ -138,14 +138,14 @@
   AddBackend(backend);
   Own("s-3");
   Begin();
-  BOOST_TEST(Quiet());
+  BOOST_TEST(HasNoDecisions());
 }
 
 BOOST_AUTO_TEST_CASE(owner_registered_for_another_service_is_not_used) {
   AddBackends("cards", {"c-1"});
   Own("c-1");
   Begin();
-  BOOST_TEST(Quiet());
+  BOOST_TEST(HasNoDecisions());
 }
 
 BOOST_AUTO_TEST_CASE(full_owner_gets_the_request_once_a_slot_is_free) {
@@ -154,7 +154,7 @@
   const SendDecision refused = Send();
   Sent(refused);
   Refuse(refused);
-  BOOST_TEST(Quiet());
+  BOOST_TEST(HasNoDecisions());
   Answer(first, 200, 2, 4);
   const auto decisions = dispatcher.TakeDecisions();
   BOOST_REQUIRE_EQUAL(decisions.size(), 2U);
--- a/tests/unit/forwarding/suspension_test.cc
+++ b/tests/unit/forwarding/suspension_test.cc
@@ -37,7 +37,7 @@
   AddBackends("scripts", {"owner"});
   Own("owner", {{0, ownership::kLastKey}});
   Start("/scripts/x", absl::Seconds(1), 7);
-  BOOST_TEST(Quiet());
+  BOOST_TEST(HasNoDecisions());
   Sleep();
   // Its keys have arrived meanwhile, and that is heard before any timer goes off.
   Own("owner");
@@ -69,7 +69,7 @@
   AttemptAnswer answer;
   answer.status = 503;
   answer.not_executed = true;
-  answer.rest = absl::Seconds(3);
+  answer.backoff = absl::Seconds(3);
   dispatcher.OnAttemptAnswer(send.attempt, answer, now);
   dispatcher.TakeDecisions();
   Sleep();
--- a/tests/unit/gateway_settings/node_settings_test.cc
+++ b/tests/unit/gateway_settings/node_settings_test.cc
@@ -98,8 +98,8 @@
   BOOST_TEST((shown.membership.silence == defaults.membership.silence));
   BOOST_TEST((shown.membership.confirmation == defaults.membership.confirmation));
   BOOST_TEST((shown.membership.member_lifetime == defaults.membership.member_lifetime));
-  BOOST_TEST((shown.forwarding.lapse_grace == defaults.forwarding.lapse_grace));
-  BOOST_TEST(shown.forwarding.patience_share == defaults.forwarding.patience_share);
+  BOOST_TEST((shown.forwarding.expiry_grace == defaults.forwarding.expiry_grace));
+  BOOST_TEST(shown.forwarding.max_wait_share == defaults.forwarding.max_wait_share);
   BOOST_TEST(shown.forwarding.admission_floor == defaults.forwarding.admission_floor);
 }
 
--- a/tests/unit/node/catalog_tables_test.cc
+++ b/tests/unit/node/catalog_tables_test.cc
@@ -57,13 +57,14 @@
   store::TableFollower backend_follower{
       {.table = std::string(adapter->backend_table()), .partition = ""}};
   catalog::BackendChanges told;
-  CatalogTables tables{adapter.get(),
-                       &beliefs,
-                       &configuration_follower,
-                       &backend_follower,
-                       {[](const ConfigurationPtr& /*configuration*/) {},
-                        [this](const catalog::BackendChanges& changes,
-                               const forwarding::RegistrationNews& /*news*/) { told = changes; }}};
+  CatalogTables tables{
+      adapter.get(),
+      &beliefs,
+      &configuration_follower,
+      &backend_follower,
+      {[](const ConfigurationPtr& /*configuration*/) {},
+       [this](const catalog::BackendChanges& changes,
+              const forwarding::RegistrationUpdate& /*news*/) { told = changes; }}};
 };
 
 BOOST_FIXTURE_TEST_SUITE(catalog_tables, Tables)
--- a/tests/unit/observability/request_observer_test.cc
+++ b/tests/unit/observability/request_observer_test.cc
@@ -132,7 +132,7 @@
   Start();
   Decide("b-1", forwarding::SendCause::kFirst);
   forwarding::AttemptAnswer answer = Answered(503, true);
-  answer.rest = absl::Seconds(3);
+  answer.backoff = absl::Seconds(3);
   answer.leaving = true;
   answer.limit.rate = 3.4;
   observer.OnAttemptAnswered(kId, "b-1", answer, absl::Milliseconds(1));
@@ -281,8 +281,8 @@
 /// 901 back ends at 295 nodes once made 139,000 lines of a day's 860,000 at the nodes' starts
 /// alone.
 BOOST_AUTO_TEST_CASE(registrations_that_change_together_share_lines) {
-  std::vector<forwarding::BackendBelief> changes = {{"b-1", "ejected", "5 failures"},
-                                                    {"b-2", "gone", "its registration went"}};
+  std::vector<forwarding::BackendStateChange> changes = {{"b-1", "ejected", "5 failures"},
+                                                         {"b-2", "gone", "its registration went"}};
   for (int i = 100; i < 200; ++i) {
     changes.push_back({absl::StrCat("b-", i), "registered", "cards at 10.0.1.7:8080, ready"});
   }
--- a/tests/unit/requested_rest/requested_rest_test.cc
+++ b/tests/unit/requested_rest/requested_rest_test.cc
@@ -31,7 +31,7 @@
     answer.status = 503;
     answer.not_executed = true;
     answer.load = {.running = 1, .waiting = 0, .slots = 2};
-    answer.rest = rest;
+    answer.backoff = rest;
     dispatcher.OnAttemptAnswer(send.attempt, answer, now);
   }
 
@@ -91,9 +91,9 @@
   AddBackends("scripts", {"owner"});
   Own("owner");
   RefuseForRest(StartAndSend("/scripts/x", absl::Seconds(2), 7), absl::Milliseconds(40));
-  BOOST_TEST(Quiet());
+  BOOST_TEST(HasNoDecisions());
   Advance(absl::Milliseconds(39));
-  BOOST_TEST(Quiet());
+  BOOST_TEST(HasNoDecisions());
   Advance(absl::Milliseconds(1));
   BOOST_TEST(Only<SendDecision>().backend == "owner");
 }
@@ -213,7 +213,7 @@
   answer.status = 503;
   answer.not_executed = true;
   answer.load = {.running = 2, .waiting = 8, .slots = 2};
-  answer.rest = kRest;
+  answer.backoff = kRest;
   dispatcher.OnAttemptAnswer(full.attempt, answer, now);
   for (const load::ServiceLoad& load : dispatcher.TakeLoad()) {
     BOOST_TEST(load.declined.empty());
@@ -224,9 +224,9 @@
   AddBackends("scripts", {"owner"});
   Own("owner");
   const SendDecision send = StartAndSend("/scripts/x", absl::Seconds(2), 7);
-  dispatcher.TakeBeliefs();
+  dispatcher.TakeStateChanges();
   RefuseForRest(send);
-  const std::vector<BackendBelief> beliefs = dispatcher.TakeBeliefs();
+  const std::vector<BackendStateChange> beliefs = dispatcher.TakeStateChanges();
   BOOST_TEST_REQUIRE(beliefs.size() == 1U);
   BOOST_TEST(beliefs.front().backend == "owner");
   BOOST_TEST(beliefs.front().event == "resting");
