--- a/src/core/forwarding/dispatcher.h
+++ b/src/core/forwarding/dispatcher.h
@@ -1,8 +1,9 @@
-// Decides what happens to each request: which back end gets it, when it is sent again, and how it
-// is answered when no back end's answer can be passed on.
+// Selects a back end for each request, decides when to retry, and builds the answer when no back
+// end's answer can be relayed.
 //
-// Pure: events and time in, decisions out; no I/O, no thread, no clock. The data path owns one
-// Dispatcher for the node and tells it everything that happens to each attempt.
+// Pure state machine: takes events and the current time, returns decisions; does no I/O, starts no
+// threads and reads no clock. The data path owns the node's single Dispatcher and reports every
+// event of each attempt to it.
 #pragma once
 
 #include <cstdint>
@@ -27,64 +28,69 @@
 
 namespace ladderstream::forwarding {
 
-/// Names one request on this node, from Start to its final decision.
+/// Identifies one request on this node, from Start to its final decision.
 using RequestHandle = uint64_t;
-/// Names one attempt of a request at one back end.
+/// Identifies one attempt of a request at one back end.
 using AttemptHandle = uint64_t;
 
 struct DispatcherSettings {
   std::string zone;
-  /// In another zone, a request is taken to last longer by this share of its service time: with
-  /// 0.3, bytes between zones cost half as much again; with 0.8, callers waited longer (design note
-  /// 018).
+  /// Penalty for back ends in another zone: the request is assumed to take longer by this share of
+  /// its service time. 0.3 raised the cost of cross-zone traffic by half; 0.8 increased the
+  /// callers' wait.
   double remote_zone_cost = 0.55;
-  /// The nodes among whom the retry budget is shared; kept current by SetNodeCount.
+  /// Number of nodes that share the retry budget; updated by SetNodeCount.
   uint32_t node_count = 1;
-  /// All nodes' attempts beyond the first of each request, within `budget_window`, stay below
-  /// this share of the requests plus `budget_slack`.
+  /// Within `budget_window`, the retries and hedges of all nodes together stay below this share of
+  /// the requests plus `budget_slack`.
   double budget_ratio = 0.2;
   double budget_slack = 60;
   Duration budget_window = absl::Seconds(10);
-  /// A back end gets no request later than this after the store took that it leaves, or that its
-  /// zone is evacuated. The times below count from when this node heard of it, which may be much
-  /// later, and end here at the latest.
+  /// Upper bounds, counted from when the store accepted that a back end is leaving or that its zone
+  /// is evacuated; after them it gets no request. The periods below count from when this node
+  /// learned of it, which may be much later, and are cut off at these bounds.
   Duration drain_time = absl::Seconds(2);
   Duration evacuation_time = absl::Seconds(5);
-  /// After a registration disappears or says "draining", no new work goes there after this.
+  /// How long new work may still be sent to a back end after its registration disappears or is
+  /// marked as draining.
   Duration drain_grace = absl::ZeroDuration();
-  /// A back end that drains or whose registration disappears still gets the requests for keys that
-  /// it owns by the map, for this long: moving them takes a while.
+  /// How long a draining or deregistered back end still gets the requests for keys that it owns
+  /// according to the map, since moving them takes time.
   Duration drain_serving = absl::Milliseconds(1200);
-  /// A back end in an evacuated zone still gets the requests for keys that it owns for this long
-  /// after this node heard of it: moving them takes a while.
+  /// How long a back end in an evacuated zone still gets the requests for keys that it owns,
+  /// counted from when this node learned of the evacuation, since moving them takes time.
   Duration evacuation_serving = absl::Seconds(2);
-  /// In any second, all nodes together may send a cold back end its service's cold rate times
-  /// `cold_overshoot` plus `cold_slack` requests.
+  /// In any second, all nodes together may send a cold back end at most its service's cold rate
+  /// times `cold_overshoot`, plus `cold_slack` requests.
   double cold_overshoot = 1;
   double cold_slack = 0;
-  /// This node among the members of SetMembers.
+  /// This node's id among the members passed to SetMembers.
   uint64_t node = 0;
-  /// A registration that disappears while the store is troubled is believed only after this; at the
-  /// latest at the end of `drain_time`, unless many went at once and so have lapsed.
+  /// Delay before a registration that disappears while the store has problems is treated as
+  /// removed. Ends with `drain_time` at the latest, unless many registrations disappeared at once,
+  /// which indicates that they expired.
   Duration expiry_grace = absl::Milliseconds(1500);
   /// How long a request may wait for a moving key or a free slot, as a share of its target latency.
-  /// Refused by then, it comes back in time; a quarter, with the way here, was too late for many.
+  /// Short enough that a refused request can be retried by its caller in time; with 0.25, plus the
+  /// network delay, that was too late for many.
   double max_wait_share = 0.2;
-  /// A request is refused at once when the queue that it would join lasts longer than this share of
-  /// its target latency; longer than its deadline allows, in any case.
+  /// A request is refused immediately when the expected wait in the queue exceeds this share of its
+  /// target latency, and always when it exceeds its deadline.
   double overload_share = 1000;
-  /// Under overload each rank of a service is let through at least so often as all together are,
-  /// times this, before the urgent get the rest. Above 0; with 1 no rank goes before another.
+  /// Under overload, each rank of a service is admitted at least this fraction of the overall
+  /// admission share; the remaining capacity goes to the more urgent ranks first. Above 0; 1
+  /// disables the precedence between ranks.
   double admission_floor = 0.3;
-  /// What a caller's deadline is cut by, to leave time for the answer's way back.
+  /// Subtracted from the caller's deadline to leave time for returning the answer.
   Duration answer_margin = absl::Milliseconds(5);
-  /// How long a connection to a back end may take to come up.
+  /// Time limit for establishing a connection to a back end.
   Duration connect_timeout = absl::Milliseconds(150);
-  /// Whether a repeatable request whose back end is slow may be sent to a second one meanwhile.
+  /// Whether a repeatable request may be hedged, i.e. also sent to a second back end while the
+  /// first is slow.
   bool hedge = true;
-  /// Whether this node limits what it has at an owner by how its requests fare there (OwnerLimit).
+  /// Whether this node limits its concurrent requests at an owner by their outcomes (OwnerLimit).
   bool limit_owners = true;
-  /// For choices among equals; to differ from node to node.
+  /// Seed for choices among equally good back ends; should differ between nodes.
   uint64_t seed = 0;
 };
 
@@ -96,54 +102,54 @@
   /// Sharded services only.
   std::optional<ownership::Key> key;
   Time arrival;
-  /// When the caller stops waiting; infinite when it did not say.
+  /// When the caller stops waiting; infinite when it sent no deadline.
   Time deadline;
-  /// Needed while something is known of suspects (see Dispatcher::suspects).
+  /// Required while any crash suspects are known (see Dispatcher::suspects).
   std::optional<quarantine::Fingerprint> fingerprint = std::nullopt;
 };
 
-/// Why an attempt is made.
+/// Reason for an attempt.
 enum class SendCause {
   kFirst,
-  /// The attempt before surely did not leave.
+  /// No byte of the previous attempt was sent.
   kAfterConnectFailure,
-  /// The back end before said that it did not run the request.
+  /// The previous back end answered that it did not run the request.
   kAfterRefusal,
-  /// The request may run twice, and the attempt before failed.
+  /// The previous attempt failed after sending, and the request is repeatable.
   kAfterLoss,
-  /// The attempt before is slow, and goes on.
+  /// The previous attempt is slow and still in flight.
   kHedge,
 };
 
-/// Send to this back end. `attempt` comes back in every event about it.
+/// Sends the request to this back end. `attempt` identifies it in all later events.
 struct SendDecision {
   AttemptHandle attempt = 0;
   std::string backend;
   Endpoint address;
-  /// Give the connection up if it is not established by then; the request has not left.
+  /// If the connection is not established by then, it is given up; nothing was sent.
   Time connect_by;
-  /// What to announce to the back end as time left, and when to give up waiting for the answer.
+  /// Deadline for the answer; the back end is sent the remaining time.
   Time answer_by;
-  /// For the log.
+  /// For the log only.
   SendCause cause = SendCause::kFirst;
-  /// How long it is expected to wait for a slot there.
+  /// Expected wait for a slot at the back end.
   Duration expected_wait;
 };
-/// Drop this attempt: close its connection, and expect no event about it.
+/// Drops this attempt: its connection is to be closed, and no event is expected for it.
 struct CancelDecision {
   AttemptHandle attempt = 0;
 };
-/// Pass the answer of this attempt on, unchanged. Final.
+/// Relays the answer of this attempt unchanged. Final.
 struct RelayDecision {
   AttemptHandle attempt = 0;
 };
-/// Answer from here. Final.
+/// Answers on behalf of this node. Final.
 struct AnswerDecision {
   int status = 503;
   ResultCode code = ResultCode::kOk;
-  /// When the caller should come back; zero when it should not.
+  /// Delay after which the caller should retry; zero when it should not retry.
   Duration retry_after;
-  /// For the log: what decided it.
+  /// What led to this answer; for the log.
   std::string reason;
 };
 using Decision = std::variant<SendDecision, CancelDecision, RelayDecision, AnswerDecision>;
@@ -153,48 +159,48 @@
   Decision decision;
 };
 
-/// Why an attempt ended without an answer that can be passed on.
+/// Why an attempt ended without an answer that can be relayed.
 enum class AttemptFailure {
-  /// The connection was refused; nothing left.
+  /// The connection was refused; nothing was sent.
   kConnectRefused,
-  /// No connection was made in time; nothing left.
+  /// No connection was established in time; nothing was sent.
   kConnectTimeout,
-  /// A reused connection was found closed before a byte of the request was written.
+  /// A reused connection turned out to be closed before any byte of the request was written.
   kNotSent,
-  /// The request may have left; then the connection was reset or closed, or the bytes were no
-  /// answer, belonged to another request, or were cut short.
+  /// The request may have been sent; then the connection was reset or closed, or the received bytes
+  /// were malformed, truncated or belonged to another request.
   kLost,
   /// No answer by `answer_by`.
   kTimedOut,
 };
 
-/// A back end's answer, as far as it matters for decisions.
+/// The parts of a back end's answer that decisions depend on.
 struct AttemptAnswer {
   int status = 0;
-  /// The back end says that it did not run the request.
+  /// The back end reported that it did not run the request.
   bool not_executed = false;
   catalog::ToldLoad load;
-  /// For how long it is slow from a start, when it says so.
+  /// Remaining duration of the back end's slow start, if it reported one.
   std::optional<Duration> cold_left;
-  /// For how long it wants no requests from this node, when it said so while turning one away.
+  /// Back-off that the back end requested from this node when it rejected the request.
   std::optional<Duration> backoff;
-  /// It says that it is about to end.
+  /// The back end announced its shutdown.
   bool leaving = false;
-  /// What it says of a limit on the requests that it takes from all nodes together.
+  /// Reported limit on the requests that it accepts from all nodes together.
   catalog::ToldLimit limit;
-  /// It will take no more requests on this connection.
+  /// The back end accepts no more requests on this connection.
   bool closing = false;
 };
 
-/// How a list of registrations was learned.
+/// Origin and age of an update of the registered back ends.
 struct RegistrationUpdate {
-  /// The store was not well lately: a missing registration may have lapsed by mistake.
+  /// The store had problems recently, so a missing registration may have expired by mistake.
   bool store_troubled = false;
-  /// What differs from the list before happened after this, however late it was heard.
+  /// Lower bound on when the changes since the previous list happened, however late they arrived.
   Time changed_after = absl::InfinitePast();
 };
 
-/// A change of what the dispatcher believes of a back end, for the log.
+/// A change in the dispatcher's view of a back end, for the log.
 struct BackendStateChange {
   std::string backend;
   std::string event;
@@ -207,85 +213,86 @@
   ~Dispatcher();
 
   void SetConfiguration(std::shared_ptr<const catalog::Configuration> configuration, Time now);
-  /// What changed in the registered back ends. Also to be called after a change of the
-  /// configuration.
+  /// Applies changes of the registered back ends. Must also be called after the configuration
+  /// changed.
   void ChangeBackends(const catalog::BackendChanges& changes, const RegistrationUpdate& news,
                       Time now);
-  /// Null or stale (see SetMapConfirmed) maps make keyed requests fail with kNoOwner.
+  /// Sets the ownership map. While it is null or no longer confirmed (see SetMapConfirmed), keyed
+  /// requests fail with kNoOwner.
   void SetOwnership(std::shared_ptr<const ownership::OwnershipMap> map, Time now);
-  /// The map in force is known to be the newest as of `now`; it may be used until `until`.
+  /// Records that the current map is the newest one; it may be used until `until`.
   void SetMapConfirmed(Time until);
   void SetNodeCount(uint32_t node_count);
-  /// All nodes that take part, this one included, as the coordinator last said.
+  /// Sets the participating nodes, including this one, as last published by the coordinator.
   void SetMembers(const std::vector<uint64_t>& members, Time now);
-  /// The members are known to be the newest, and may be gone by until then.
+  /// Records that the current members are the newest ones; they may be relied on until `until`.
   void SetMembersConfirmed(Time until);
-  /// Replaces the limits on attempts beyond the first; see DispatcherSettings.
+  /// Replaces the limits on retries and hedges; see DispatcherSettings.
   void SetRetryBudget(double ratio, double slack, Duration window);
-  /// New requests are still served; CanServe says no from now on.
+  /// Makes CanServe return false from now on; new requests are still served.
   void SetStopping();
-  /// The process ends at `end`: requests that come after `last_start` are refused when they might
-  /// not be answered by then. Earlier ones are served as usual.
+  /// Announces that the process ends at `end`. Requests that arrive after `last_start` and might
+  /// not be answered by `end` are refused; earlier ones are served as usual.
   void SetEnd(Time last_start, Time end);
 
-  /// The route of a request; null when there is none, or when no configuration is known.
+  /// Returns the route of a request; null when none matches or no configuration is known.
   const catalog::Route* FindRoute(std::string_view host, std::string_view target) const;
 
-  /// A whole request was read. Decisions about it, also final ones, come from TakeDecisions.
+  /// Starts a request that was read completely. All decisions about it, including the final one,
+  /// are returned by TakeDecisions.
   RequestHandle Start(const IncomingRequest& request, Time now);
-  /// The caller has gone: cancels what may be cancelled, forgets the rest.
+  /// The caller disconnected: cancels the attempts that may be cancelled and detaches the others.
   void OnCallerDisconnected(RequestHandle request, Time now);
 
-  /// Every attempt ends with one OnAttemptAnswer or OnAttemptFailure, unless it was cancelled; also
-  /// one whose request has got its final answer already.
+  /// Every attempt must end with one OnAttemptAnswer or OnAttemptFailure unless it was cancelled,
+  /// even when its request already has its final answer.
   ///
-  /// Whether an attempt that was decided on earlier may still go to its back end, which may have
-  /// left or asked for rest since.
+  /// Returns whether an attempt that was decided on earlier may still be sent; its back end may
+  /// have left or requested a back-off since.
   bool MaySend(AttemptHandle attempt, Time now) const;
-  /// The connection is up and the request is about to be written to it. To be called before the
-  /// first byte is handed over: until then the attempt counts as one that never left.
+  /// The connection is established and the request is about to be written. Must be called before
+  /// the first byte is written: until then the attempt counts as never sent.
   void OnSent(AttemptHandle attempt, Time now);
   void OnAttemptAnswer(AttemptHandle attempt, const AttemptAnswer& answer, Time now);
   void OnAttemptFailure(AttemptHandle attempt, AttemptFailure failure, Time now);
-  /// To be called before OnAttemptFailure with kLost: which request it was.
+  /// Records the fingerprint of a lost request. Must be called before OnAttemptFailure with kLost.
   void OnRequestLost(AttemptHandle attempt, const quarantine::Fingerprint& request, Time now);
-  /// To be called at or soon after NextWake().
+  /// Runs due timers. Must be called at or soon after NextWake().
   void OnTick(Time now);
 
   std::vector<RequestDecision> TakeDecisions();
   Time NextWake() const;
 
-  /// Requests that may crash back ends. Whoever owns the dispatcher makes the probes and exchanges
-  /// what is known with the other nodes.
+  /// Requests that may crash back ends. The dispatcher's owner runs the probes and exchanges the
+  /// records with the other nodes.
   quarantine::CrashSuspects& suspects();
   /// What back ends in need take from all nodes together. Whoever owns the dispatcher exchanges
   /// limits and permits with the other nodes: what changed, when TakeLimitsChanged says so, to all,
   /// and questions for permits to the node that each names.
   const allowance::SharedRates& rates() const;
-  /// Gives whether any of it was news.
+  /// Merges limits received from another node. Returns whether any of them changed.
   bool OnLimitsReceived(const std::vector<allowance::LimitRecord>& records, Time now);
   bool TakeLimitsChanged();
   std::vector<allowance::PermitQuestion> TakePermitQuestions();
   allowance::PermitReply OnPermitQuestion(const allowance::PermitQuestion& question, Time now);
-  /// TakeDecisions may give something afterwards.
+  /// May produce decisions; call TakeDecisions afterwards.
   void OnPermitReply(const allowance::PermitReply& reply, Time now);
-  /// To be called now and then: drops what has lapsed.
+  /// Drops expired limits. Must be called periodically.
   void ExpireLimits(Time now);
-  /// Where a known back end is; null when it is not known.
+  /// Returns the address of a back end; null when it is not known.
   const Endpoint* AddressOf(const std::string& backend) const;
 
   std::vector<load::ServiceLoad> TakeLoad();
   std::vector<BackendStateChange> TakeStateChanges();
-  /// Whether every service that has a route has a back end or an owner to send to, and this node is
-  /// not stopping.
+  /// Returns whether every routed service has a usable back end or owner, and this node is not
+  /// stopping.
   bool CanServe(Time now) const;
-  /// Attempts beyond the first that this node may make now, for the service with the fewest; zero
+  /// Returns how many retries this node may send now for the service with the fewest left; zero
   /// when no service is known.
   double RetriesLeft(Time now);
-  /// Requests that wait on this node for a back end or for keys that move.
+  /// Returns the number of requests waiting on this node for a back end or for moving keys.
   uint64_t RequestsWaiting();
-  /// The share of its requests that the most limited service is let through; 1 when none is
-  /// limited.
+  /// Returns the share of requests admitted for the most limited service; 1 when none is limited.
   double MinAdmissionShare();
 
  private:
--- a/src/core/forwarding/dispatcher_impl.h
+++ b/src/core/forwarding/dispatcher_impl.h
@@ -1,7 +1,7 @@
 // The state behind Dispatcher, and the steps of a request through it.
 //
-// dispatcher.cc takes in what the outside tells, dispatch.cc sends and finishes requests,
-// attempt_events.cc follows attempts, and deadlines.cc keeps the timers.
+// dispatcher.cc handles configuration, state updates and new requests, dispatch.cc sends and
+// finishes requests, attempt_events.cc handles the events of attempts, and deadlines.cc the timers.
 #pragma once
 
 #include <absl/container/btree_set.h>
@@ -85,33 +85,33 @@
   bool ServiceCanServe(const std::string& name, Time now) const;
   bool HasUsableOwner(const std::string& service, Time now) const;
 
-  // dispatch.cc: a request that has no attempt in flight is sent, waits, or is answered.
+  // dispatch.cc: sends, queues or answers a request that has no attempt in flight.
   void Dispatch(Request& request, Time now);
   Choice Choose(const Request& request, Time now);
   Choice ChooseOnce(const Request& request, Time now);
-  /// Whether admission lets the request through, for which there is a back end; owners of keys have
-  /// limits of their own.
+  /// Whether admission control accepts the request, once a back end is available. Keyed requests
+  /// are always accepted here, as owners have limits of their own.
   bool Admitted(Request& request, Time now);
   bool MayWait(const Request& request, const Choice& choice, Time now) const;
   void Wait(Request& request, const Choice& choice, Time now);
   void StopWaiting(Request& request);
   void Send(Request& request, const Choice& choice, Time now);
   void FinishUnserved(Request& request, const Choice& choice, StopCause cause, Time now);
-  /// Emits the final decision and forgets the request. `request` is gone afterwards.
+  /// Emits the final decision and deletes the request. `request` is invalid afterwards.
   void Finish(Request& request, Decision decision, Time now);
-  /// Cancels what may be cancelled of the attempts in flight, and forgets the rest.
+  /// Cancels the attempts in flight that may be cancelled, and detaches the others.
   void AbandonAttempts(Request& request, Time now);
   void Forget(Request& request);
-  /// Gives everybody who waits for `service` another look.
+  /// Retries dispatching all requests that wait for `service`.
   void DispatchWaiting(ServiceState& service, Time now);
   void Emit(const Request& request, Decision decision);
 
   // attempt_events.cc
-  /// Takes the attempt out of the books of its back end and its request.
+  /// Removes the attempt and its accounting at its back end and its request.
   Attempt EndAttempt(AttemptHandle handle);
   Request* FindRequest(RequestHandle handle);
   void UpdateFromAnswer(const Attempt& attempt, const AttemptAnswer& answer, Time now);
-  /// Takes in what the back end says that it wants of this node.
+  /// Applies the signals in a back end's answer: slow start, back-off, shutdown and rate limit.
   void ApplyBackendSignals(const Attempt& attempt, const AttemptAnswer& answer, Time now);
   void UpdateFromRefusal(const Attempt& attempt, const AttemptAnswer& answer, Time now);
   void UpdateFromFailure(const Attempt& attempt, AttemptFailure failure, Time now);
@@ -121,9 +121,9 @@
                        Time now);
   void OnNeverSent(Request& request, const Attempt& attempt, AttemptFailure failure, Time now);
   void OnLost(Request& request, const Attempt& attempt, FailureKind kind, int status, Time now);
-  /// Whether it has been lost with so many back ends that one more is not to be risked.
+  /// Whether the request was lost at so many back ends that it must not be sent to another one.
   bool MayCrashAnother(const Request& request, Time now) const;
-  /// The attempt failed: sends the request again, or leaves it to another attempt in flight.
+  /// After a failed attempt: retries the request unless another attempt is in flight.
   void Continue(Request& request, SendCause cause, Time now);
 
   // deadlines.cc
@@ -137,7 +137,7 @@
   const DispatcherSettings settings_;
   std::mt19937_64 random_;
   allowance::RetryLimits retry_limits_;
-  /// Of all nodes together.
+  /// Shared by all nodes.
   double budget_slack_ = 0;
   uint32_t node_count_ = 1;
   RouteIndex routes_;
--- a/src/core/forwarding/final_answer.h
+++ b/src/core/forwarding/final_answer.h
@@ -1,4 +1,4 @@
-// Wording and figures of the answers that are made here, when no back end's can be passed on.
+// Builds the answers that this node gives when no back end's answer can be relayed.
 #pragma once
 
 #include <random>
@@ -10,31 +10,32 @@
 
 namespace ladderstream::forwarding {
 
-/// Why a request cannot be sent (again) now.
+/// Why a request cannot be sent or retried now.
 enum class StopCause {
-  /// The choice's obstacle.
+  /// No back end could be chosen; the Choice holds the reason.
   kUnavailable,
-  /// It may have run, and must not run twice.
+  /// The request may have run and must not run twice.
   kNotRepeatable,
   kAttemptsSpent,
   kBudgetSpent,
   kTooManyWaiting,
-  /// Its service is overloaded, and others go first.
+  /// Rejected by admission control, as its service is overloaded.
   kNotAdmitted,
-  /// It was lost with so many back ends that it may have crashed them.
+  /// The request was lost at several back ends and may have crashed them.
   kMayCrashAnother,
 };
 
-/// The final answer of a request that nobody serves: 502 when it may have run, otherwise 503 with
-/// a time to come back.
+/// Returns the final answer of a request that no back end serves: 502 when it may have run,
+/// otherwise 503 with a Retry-After delay.
 AnswerDecision AnswerUnserved(const Request& request, const Choice& choice, StopCause cause,
                               const ownership::OwnershipMap* map, std::mt19937_64& random,
                               Time now);
 
-/// The final answer of a request whose time is over: 504 when it may have run, otherwise 503.
+/// Returns the final answer of a request whose deadline passed: 504 when it may have run,
+/// otherwise 503.
 AnswerDecision AnswerTimeOver(const Request& request, bool may_have_run, Time now);
 
-/// An answer that needs no more than a code. The status is the code's.
+/// Returns an answer with the HTTP status that belongs to `code`.
 AnswerDecision MakeAnswer(ResultCode code, Duration retry_after, std::string reason);
 
 }  // namespace ladderstream::forwarding
--- a/src/core/forwarding/request_state.cc
+++ b/src/core/forwarding/request_state.cc
@@ -8,7 +8,7 @@
 constexpr int kTooManyRequests = 429;
 constexpr int kUnavailable = 503;
 
-/// Whether `status` tells a caller that the request has not run and never will.
+/// Whether callers may conclude from `status` that the request has not run and never will.
 bool ImpliesNotExecuted(int status) {
   return status == kRequestTimeout || status == kMisdirected || status == kTooManyRequests ||
          status == kUnavailable;
--- a/src/core/forwarding/request_state.h
+++ b/src/core/forwarding/request_state.h
@@ -1,4 +1,4 @@
-// What is known of one request and of each of its attempts, from Start to the final decision.
+// State of a request and of its attempts, from Start to the final decision.
 #pragma once
 
 #include <memory>
@@ -12,53 +12,53 @@
 
 namespace ladderstream::forwarding {
 
-/// How the last attempt that ended failed its request.
+/// How the most recently ended attempt of a request failed.
 enum class FailureKind { kNone, kRefused, kDenied, kUnreachable, kNotSent, kLost, kUnclear };
 
 struct LastFailure {
   FailureKind kind = FailureKind::kNone;
   BackendStatePtr backend;
-  /// Of its answer; 0 when there was none.
+  /// Status of its answer; 0 when there was none.
   int status = 0;
   catalog::ToldLoad load;
 };
 
 struct Request {
   RequestHandle handle = 0;
-  /// Keeps `route` alive: a request goes on by the configuration that it started with.
+  /// Keeps `route` alive: a request keeps the configuration that it started with.
   std::shared_ptr<const catalog::Configuration> configuration;
   const catalog::Route* route = nullptr;
   ServiceState* service = nullptr;
   bool sharded = false;
   std::optional<ownership::Key> key;
   Time arrival;
-  /// When it gets its final answer, whatever that is.
+  /// Deadline for the final answer, whatever its outcome.
   Time answer_by;
-  /// A queue that lasts beyond this is not worth joining.
+  /// The request does not join a queue whose expected wait ends after this.
   Time start_by;
-  /// It waits for a slot or an owner only until then.
+  /// Latest time to wait for a slot or an owner.
   Time wait_deadline;
 
-  /// An attempt may have run it, and cannot give its answer any more.
+  /// An attempt that can no longer return an answer may have run the request.
   bool may_have_run = false;
-  /// Attempts that left, or may still leave.
+  /// Attempts that were sent or may still be sent.
   uint32_t counted_attempts = 0;
   uint32_t sends = 0;
   std::vector<AttemptHandle> in_flight;
   std::vector<BackendStatePtr> failed;
-  /// Different back ends whose connection ended while it was at work there.
+  /// Distinct back ends whose connection ended while the request was in progress there.
   std::vector<BackendStatePtr> lost_with;
   std::optional<quarantine::Fingerprint> fingerprint;
   std::optional<DeniedAssignment> denied;
   LastFailure last_failure;
   SendCause next_cause = SendCause::kFirst;
 
-  /// Under overload, it was let through.
+  /// Admission control has accepted the request.
   bool admitted = false;
   bool waiting = false;
   Time wait_until = absl::InfiniteFuture();
   Time hedge_at = absl::InfiniteFuture();
-  /// When its timer runs out; infinite when it has none.
+  /// When its timer fires; infinite when it has none.
   Time timer = absl::InfiniteFuture();
 
   bool repeatable() const { return route->repeatability == catalog::Repeatability::kRepeatable; }
@@ -66,28 +66,29 @@
 };
 
 struct Attempt {
-  /// 0: the request is forgotten, and only the back end's slot is still accounted for.
+  /// 0 when the request was deleted and only the back end's slot is still accounted for.
   RequestHandle request = 0;
   BackendStatePtr backend;
   ServiceState* service = nullptr;
   ownership::Fence fence = 0;
   Time started;
-  /// An answer that takes longer is late, whatever its request waited for before.
+  /// An answer that takes longer than this is late, regardless of how long the request waited
+  /// before the attempt.
   Duration late_after = absl::InfiniteDuration();
   bool sent = false;
-  /// It used up a permit of the back end's limit.
+  /// The attempt consumed a permit of the back end's rate limit.
   bool permitted = false;
-  /// It was charged to the retry budget when it was started.
+  /// The attempt was charged to the retry budget when it started.
   bool charged = false;
 };
 
-/// What an answer means for its request.
+/// How the answer of a back end is handled.
 enum class AnswerMeaning {
-  /// Pass it on.
+  /// Relayed to the caller.
   kFinal,
-  /// Not run, and another back end, or the same later, may run it.
+  /// The request was not run; another back end, or the same one later, may run it.
   kRefused,
-  /// Its status would promise the caller that the request did not run, which is not known.
+  /// The status implies that the request did not run, but the back end did not confirm it.
   kUnclear,
 };
 
