--- a/src/core/forwarding/attempt_events.cc
+++ b/src/core/forwarding/attempt_events.cc
@@ -12,42 +12,42 @@
 constexpr int kFirstServerError = 500;
 constexpr int kGatewayTimeout = 504;
 constexpr int kMisdirected = 421;
-/// Giving an answer up says something about the back end only after so many service times.
+/// A timeout counts against the back end only after this many service times.
 constexpr int kUnansweredServiceTimes = 2;
-/// What ends within this share of the service time has not been worked on.
+/// An attempt that ends within this share of the service time is taken as not processed.
 constexpr double kQuickShare = 0.5;
-/// What a back end told is taken as true for so long. An estimate: some service times, in which a
-/// burst may fill a queue.
+/// How long a load report is taken as current: a few service times, within which a burst may fill a
+/// queue.
 constexpr Duration kReportFreshness = absl::Milliseconds(500);
 
-/// Whether the answer shows a fault of the back end itself.
+/// Whether the answer indicates a fault of the back end itself.
 bool ShowsFault(const AttemptAnswer& answer) {
   return answer.status >= kFirstServerError && answer.status != kGatewayTimeout &&
          !answer.not_executed;
 }
 
-/// Whether the attempt ended too early to have been worked on, or to have waited for long.
+/// Whether the attempt ended too early to have been processed or to have been queued for long.
 bool EndedImmediately(const Attempt& attempt, Time now) {
   return now - attempt.started < attempt.backend->load.ServiceTime(now) * kQuickShare;
 }
 
-/// Whether a back end that told this had a slot free for one more request.
-bool HasRoom(const catalog::ToldLoad& told) {
-  return told.slots > 0 && told.running + told.waiting < told.slots;
+/// Whether a back end that reported this load had a slot free for one more request.
+bool HasRoom(const catalog::ToldLoad& load) {
+  return load.slots > 0 && load.running + load.waiting < load.slots;
 }
 
-/// Whether a request that was lost there may have been lost because the back end is full: not when
-/// it told a short time ago that it has room.
+/// Whether a request may have been lost because the back end is full. False when the back end
+/// recently reported a free slot.
 bool MayBeFull(const load::LoadEstimate& load, Time now) {
   return load.ToldAge(now) > kReportFreshness || !HasRoom(load.told());
 }
 
-/// Whether an answer that comes now is soon enough for the share of its time that an attempt has.
+/// Whether an answer received now arrives within the time limit of its attempt.
 bool InTime(const Attempt& attempt, Time now) {
   return now - attempt.started <= attempt.late_after;
 }
 
-/// The attempt's bytes surely never left.
+/// Whether it is certain that no byte of the attempt was sent.
 bool NeverSent(const Attempt& attempt, AttemptFailure failure) {
   switch (failure) {
     case AttemptFailure::kConnectRefused:
@@ -90,7 +90,7 @@
   const bool by_key = request != requests_.end() && request->second->sharded;
   const bool usable =
       by_key ? attempt.backend->UsableAsOwner(now) : attempt.backend->UsableForAny(now);
-  // A limit that was named after this attempt was decided on binds it too.
+  // A limit that was reported after this attempt was decided on applies to it too.
   const bool permitted = attempt.permitted || !rates_.IsLimited(attempt.backend->registration.id);
   return usable && permitted && !attempt.backend->Rests(now);
 }
@@ -152,7 +152,7 @@
     }
   }
   if (answer.status == kMisdirected) {
-    // Who answers so may be another back end at the same address.
+    // The answer may come from another back end at the same address.
     return;
   }
   if (answer.leaving) {
@@ -171,9 +171,10 @@
   }
   const bool refused = MeaningOf(answer) == AnswerMeaning::kRefused;
   if (!refused || HasRoom(answer.load)) {
-    // What an ill back end fails, or turns away with free slots, leaves no queue. Counting only
-    // what is served, a service whose back ends turned two of three away stayed limited with empty
-    // queues for as long as they were ill (unit test overload).
+    // Requests that a faulty back end fails, or rejects with free slots, leave no queue, so they
+    // count as done. If only served requests counted, a service whose back ends reject two of three
+    // requests would stay limited with empty queues as long as the fault lasts (unit test
+    // overload).
     attempt.service->admission.OnDone(now);
   }
   if (refused) {
@@ -206,21 +207,22 @@
   const bool has_room = HasRoom(answer.load);
   const bool ended_immediately = EndedImmediately(attempt, now);
   if (ended_immediately && !answer.backoff.has_value()) {
-    // Not asked again before another of its slots may be free; a repeat for one of its keys waits.
+    // The back end gets no request before one of its slots may be free; a retry for one of its keys
+    // waits.
     backend.load.OnShed(answer.load, now);
   } else {
     backend.load.OnTold(answer.load, now);
   }
   if (ended_immediately && !has_room) {
-    // An owner with room is ill, and sending it less does not heal it: of the requests for keys of
-    // an owner that sheds half, 0.24 were served with its limit cut, and 0.82 without (replay of
-    // the unit test ill_back_end, 20 seeds).
+    // An owner that rejects with free slots is faulty, and a lower limit would not help: of the
+    // requests for keys of an owner that sheds half of them, 0.24 were served with its limit
+    // reduced, and 0.82 without (replay of the unit test ill_back_end, 20 seeds).
     backend.owner_limit.OnTurnedAway(attempt.started, backend.load.ServiceTime(now), now);
   }
-  // One that says when it may be asked again is not ill, and is used as before from then on.
+  // A back end that requests a back-off is not faulty, and is used as before afterwards.
   if (has_room && !answer.backoff.has_value()) {
     const Duration ejected = backend.outlier.OnFailure(now);
-    RecordEjection(backend, "refuses though it has free slots", ejected);
+    RecordEjection(backend, "rejected a request despite free slots", ejected);
     if (ejected > absl::ZeroDuration()) {
       attempt.service->load.AddDeclined(backend.registration.id, ejected);
     }
@@ -242,7 +244,7 @@
                         absl::StrCat("key ", *request.key, ", fence ", attempt.fence));
   } else {
     request.failed.push_back(attempt.backend);
-    RecordEjection(*attempt.backend, "another instance answers at its address",
+    RecordEjection(*attempt.backend, "another instance answered at its address",
                    attempt.backend->outlier.OnWrongInstance(now));
   }
   Continue(request, SendCause::kAfterRefusal, now);
@@ -297,8 +299,8 @@
   if (!request.fingerprint.has_value()) {
     return false;
   }
-  // Its own losses are counted before it is known that the back ends have crashed: a third one
-  // would be gone by then.
+  // The request's own losses count before the crashes are confirmed: by then, a third back end
+  // would have crashed.
   return request.lost_with.size() >= quarantine::kCrashesToStopRetries ||
          suspects_.Judge(*request.fingerprint, now).crashes >= quarantine::kCrashesToStopRetries;
 }
@@ -311,26 +313,27 @@
       RecordEjection(backend, "refused a connection", backend.outlier.OnConnectRefused(now));
       break;
     case AttemptFailure::kConnectTimeout:
-      RecordEjection(backend, "gave no connection in time", backend.outlier.OnConnectTimeout(now));
+      RecordEjection(backend, "connection attempt timed out",
+                     backend.outlier.OnConnectTimeout(now));
       break;
     case AttemptFailure::kNotSent:
       break;
     case AttemptFailure::kLost:
-      // A full back end may reset connections instead of answering; it does so at once.
+      // A full back end may reset connections instead of answering, and does so immediately.
       if (EndedImmediately(attempt, now)) {
         backend.load.OnShed({}, now);
       }
       if (MayBeFull(backend.load, now)) {
         backend.owner_limit.OnTurnedAway(attempt.started, backend.load.ServiceTime(now), now);
       }
-      RecordEjection(backend, "lost a request", backend.outlier.OnFailure(now));
+      RecordEjection(backend, "connection lost during a request", backend.outlier.OnFailure(now));
       break;
     case AttemptFailure::kTimedOut:
       backend.owner_limit.OnAnswer(attempt.started, false, now);
       if (attempt.sent && now - attempt.started >
                               kUnansweredServiceTimes * attempt.service->averages.ServiceTime()) {
         backend.load.OnUnanswered(now - attempt.started, now);
-        RecordEjection(backend, "gave no answer in time", backend.outlier.OnFailure(now));
+        RecordEjection(backend, "no answer before the deadline", backend.outlier.OnFailure(now));
       }
       break;
   }
--- a/src/core/forwarding/deadlines.cc
+++ b/src/core/forwarding/deadlines.cc
@@ -5,13 +5,13 @@
 namespace ladderstream::forwarding {
 namespace {
 
-/// An answer is overdue after this many service times, or this share of the target latency,
+/// A request is hedged after this many service times or after this share of the target latency,
 /// whichever is later.
 constexpr int kHedgeServiceTimes = 3;
 constexpr double kHedgeTargetShare = 0.5;
-/// Hedges use no more than this share of the retry budget: the rest is for requests that failed.
+/// Hedges may use this share of the retry budget; the rest is reserved for failed requests.
 constexpr double kHedgeBudgetShare = 0.5;
-/// How soon a hedge that was not sensible is considered again.
+/// Delay before a hedge that had no suitable back end is considered again.
 constexpr Duration kHedgeRecheckInterval = absl::Milliseconds(20);
 
 }  // namespace
--- a/src/core/forwarding/dispatch.cc
+++ b/src/core/forwarding/dispatch.cc
@@ -6,16 +6,16 @@
 namespace ladderstream::forwarding {
 namespace {
 
-/// Sends of one request, counting those that never left.
+/// Sends of one request, including those that failed before any byte was sent.
 constexpr uint32_t kMaxSends = 8;
-/// Requests of one service that may wait at a time.
+/// Requests of one service that may wait at the same time.
 constexpr size_t kMaxWaiting = 64;
-/// The share of the target latency that an attempt may take; the rest is for waiting here and for
-/// the way to the caller. docs/design/018 weighs it.
+/// Share of the target latency that an attempt may take; the rest is for waiting on this node and
+/// for returning the answer to the caller.
 constexpr double kAttemptTimeShare = 0.75;
-/// A waiting request is not looked at more often than this without cause.
+/// A waiting request is redispatched by its timer at most this often.
 constexpr Duration kMinRedispatchInterval = absl::Milliseconds(5);
-/// Where work takes about as long as the target latency, queues may still take this share of it.
+/// Share of the target latency that queues may take even when the service time nearly reaches it.
 constexpr double kMinSlackShare = 0.1;
 
 }  // namespace
@@ -57,8 +57,8 @@
   if (choice.wants_permit == nullptr) {
     return choice;
   }
-  // This node may itself be an issuer: then the permit is there at once. Otherwise the answer is
-  // waited for, and TryAgain says when it is due.
+  // If this node issues permits for the back end, the permit is available immediately. Otherwise
+  // the request waits for the reply; Choice::try_again holds when it is due.
   rates_.Ask(choice.wants_permit->registration.id, now);
   return choice.backend == nullptr ? ChooseOnce(request, now) : choice;
 }
@@ -70,8 +70,8 @@
 }
 
 bool Dispatcher::Impl::Admitted(Request& request, Time now) {
-  // What owners bear differs from owner to owner: by their mean, 0.37 of a kind was refused where
-  // 0.18 had been, and fewer were served in time (docs/design/023).
+  // Keyed requests bypass service-wide admission, as capacity differs between owners: admission by
+  // their mean refused 0.37 instead of 0.18 of a request class and served fewer in time.
   if (!request.admitted && !request.sharded) {
     ServiceState& service = *request.service;
     const Duration target = request.route->target_latency;
@@ -90,7 +90,7 @@
       ((choice.obstacle == Obstacle::kOwnerLimited || choice.obstacle == Obstacle::kAllLimited) &&
        !rates_.AwaitsReply(choice.about->registration.id, now));
   if (is_timed && choice.try_again > request.wait_deadline) {
-    // It is known that waiting here is for nothing.
+    // The request cannot be sent before its wait deadline.
     return false;
   }
   return choice.may_pass && now < request.wait_deadline && request.answer_by - now > needed;
@@ -167,7 +167,7 @@
   for (const AttemptHandle handle : std::exchange(request.in_flight, {})) {
     Attempt& attempt = attempts_.at(handle);
     if (attempt.sent && !request.repeatable()) {
-      // It runs to its end unheard: breaking it off would leave the work half done.
+      // Let it finish and ignore its answer: aborting it could leave the work half done.
       attempt.request = 0;
       continue;
     }
--- a/src/core/forwarding/dispatcher.cc
+++ b/src/core/forwarding/dispatcher.cc
@@ -12,15 +12,15 @@
 namespace ladderstream::forwarding {
 namespace {
 
-/// What a node may use of the shared retry budget, as several nodes' counts never agree fully.
+/// Shares of the retry budget that a node uses: the counts of several nodes never agree exactly.
 constexpr double kRatioInUse = 0.85;
 constexpr double kSlackInUse = 0.8;
-/// How long a request without a target latency waits for a slot or an owner.
+/// Longest wait for a slot or an owner of a request without a target latency.
 constexpr Duration kDefaultMaxWait = absl::Milliseconds(100);
-/// Without anything learned, an answer is expected after this share of the target latency.
+/// Share of the target latency that is assumed as service time until one is measured.
 constexpr double kPriorServiceShare = 1.0 / 3;
 constexpr Duration kNoConfigurationRetryAfter = absl::Milliseconds(250);
-/// Another node may take the request at once.
+/// Short, as another node can take the request immediately.
 constexpr Duration kStoppingRetryAfter = absl::Milliseconds(20);
 
 Duration MaxWaitOf(const catalog::Route& route, const DispatcherSettings& settings) {
@@ -62,8 +62,8 @@
 }
 
 void Dispatcher::Impl::ChangeBackends(const catalog::BackendChanges& changes,
-                                      const RegistrationUpdate& news, Time now) {
-  services_.ChangeBackends(changes, news, now);
+                                      const RegistrationUpdate& update, Time now) {
+  services_.ChangeBackends(changes, update, now);
   for (ServiceState* service : services_.Services()) {
     DispatchWaiting(*service, now);
   }
@@ -180,7 +180,8 @@
         {quarantine::Format(note.request), std::move(note.event), std::move(note.detail)});
   }
   for (const allowance::LimitNote& note : rates_.limits().TakeNotes()) {
-    const std::string_view by = note.from_other ? "told by another node" : "told by itself";
+    const std::string_view by =
+        note.from_other ? "reported by another node" : "reported by the back end";
     changes.push_back({note.backend, note.rate.has_value() ? "rate_limited" : "rate_limit_ended",
                        note.rate.has_value()
                            ? absl::StrCat(*note.rate, " requests a second from all nodes, ",
@@ -192,13 +193,13 @@
 
 bool Dispatcher::Impl::OnLimitsReceived(const std::vector<allowance::LimitRecord>& records,
                                         Time now) {
-  const bool news = rates_.limits().Merge(records, now);
-  if (news) {
+  const bool changed = rates_.limits().Merge(records, now);
+  if (changed) {
     for (ServiceState* service : services_.Services()) {
       DispatchWaiting(*service, now);
     }
   }
-  return news;
+  return changed;
 }
 
 void Dispatcher::Impl::OnPermitReply(const allowance::PermitReply& reply, Time now) {
@@ -285,8 +286,8 @@
   impl_->SetConfiguration(std::move(configuration), now);
 }
 void Dispatcher::ChangeBackends(const catalog::BackendChanges& changes,
-                                const RegistrationUpdate& news, Time now) {
-  impl_->ChangeBackends(changes, news, now);
+                                const RegistrationUpdate& update, Time now) {
+  impl_->ChangeBackends(changes, update, now);
 }
 void Dispatcher::SetOwnership(std::shared_ptr<const ownership::OwnershipMap> map, Time now) {
   impl_->SetOwnership(std::move(map), now);
--- a/src/core/forwarding/dispatcher.h
+++ b/src/core/forwarding/dispatcher.h
@@ -215,7 +215,7 @@
   void SetConfiguration(std::shared_ptr<const catalog::Configuration> configuration, Time now);
   /// Applies changes of the registered back ends. Must also be called after the configuration
   /// changed.
-  void ChangeBackends(const catalog::BackendChanges& changes, const RegistrationUpdate& news,
+  void ChangeBackends(const catalog::BackendChanges& changes, const RegistrationUpdate& update,
                       Time now);
   /// Sets the ownership map. While it is null or no longer confirmed (see SetMapConfirmed), keyed
   /// requests fail with kNoOwner.
@@ -266,9 +266,9 @@
   /// Requests that may crash back ends. The dispatcher's owner runs the probes and exchanges the
   /// records with the other nodes.
   quarantine::CrashSuspects& suspects();
-  /// What back ends in need take from all nodes together. Whoever owns the dispatcher exchanges
-  /// limits and permits with the other nodes: what changed, when TakeLimitsChanged says so, to all,
-  /// and questions for permits to the node that each names.
+  /// Rate limits of back ends that apply to all nodes together. The dispatcher's owner exchanges
+  /// limits and permits with the other nodes: when TakeLimitsChanged returns true, it publishes the
+  /// limits to all nodes; permit questions go to the node that each one names.
   const allowance::SharedRates& rates() const;
   /// Merges limits received from another node. Returns whether any of them changed.
   bool OnLimitsReceived(const std::vector<allowance::LimitRecord>& records, Time now);
--- a/src/core/forwarding/dispatcher_impl.h
+++ b/src/core/forwarding/dispatcher_impl.h
@@ -32,7 +32,7 @@
   explicit Impl(const DispatcherSettings& settings);
 
   void SetConfiguration(std::shared_ptr<const catalog::Configuration> configuration, Time now);
-  void ChangeBackends(const catalog::BackendChanges& changes, const RegistrationUpdate& news,
+  void ChangeBackends(const catalog::BackendChanges& changes, const RegistrationUpdate& update,
                       Time now);
   void SetOwnership(std::shared_ptr<const ownership::OwnershipMap> map, Time now);
   void SetMapConfirmed(Time until) { ownership_.SetConfirmed(until); }
--- a/src/core/forwarding/final_answer.cc
+++ b/src/core/forwarding/final_answer.cc
@@ -11,15 +11,15 @@
 
 constexpr Duration kMinRetryAfter = absl::Milliseconds(20);
 constexpr Duration kMaxRetryAfter = absl::Milliseconds(400);
-/// Moving keys to another owner takes about this long.
+/// About the time that moving keys to another owner takes.
 constexpr Duration kOwnerRetryAfter = absl::Milliseconds(150);
 constexpr Duration kNoMapRetryAfter = absl::Milliseconds(250);
-/// Callers that were refused together come back spread over this share of the time.
+/// Spreads the retries of callers that were refused together over this share of the delay.
 constexpr double kRetryJitter = 0.25;
-/// Of the time in which an answer can still be got in time, who is turned away stays away for this
-/// share at most: who stays away for longer comes back too late to be served in time.
+/// Upper bound of the retry delay of a shed request, as a share of the time in which an answer
+/// would still be in time; a caller that retries later is too late to be served in time.
 constexpr double kRetryAfterShare = 0.2;
-/// Each rank below the highest is told to stay away for longer by this share.
+/// Each rank below the highest gets a retry delay that is longer by this share.
 constexpr double kDelayPerRank = 0.5;
 
 const char* NameOfUnavailableReason(Obstacle obstacle) {
@@ -120,12 +120,12 @@
   }
 }
 
-/// How long until a slot is expected to be free there, and it may be asked for it.
+/// Returns the expected time until a slot of the back end is free and its back-off has ended.
 Duration WaitAt(const BackendState& backend, Time now) {
   return std::max(backend.load.ExpectedWait(now), backend.rest_until - now);
 }
 
-/// The shortest wait at any back end of the service.
+/// Returns the shortest wait at any back end of the service.
 Duration ShortestWait(const ServiceState& service, Time now) {
   Duration least = absl::InfiniteDuration();
   for (const BackendStatePtr& backend : service.backends) {
@@ -136,7 +136,7 @@
   return least;
 }
 
-/// Between 0 and 1.
+/// Returns a random number in [0, 1).
 double Draw(std::mt19937_64& random) {
   constexpr uint64_t kSteps = 1024;
   return static_cast<double>(random() % kSteps) / kSteps;
@@ -153,9 +153,10 @@
   return std::clamp(time, kMinRetryAfter, kMaxRetryAfter) * (1 + jitter);
 }
 
-/// Of a request that admission turned away: when the queues are expected to be short enough, but
-/// while an answer can still be in time, for who comes later takes the place of one that can; later
-/// for the less urgent. The wave that was turned away comes back spread over as much again.
+/// Returns the retry delay of a request that admission control rejected: until the queues are
+/// expected to be short enough, but while an answer can still be in time, since a later retry would
+/// displace a request that can be served in time. Less urgent ranks get longer delays. The jitter
+/// spreads the callers that were rejected together over up to twice the delay.
 Duration RetryAfterShedding(const Request& request, std::mt19937_64& random, Time now) {
   const Duration left = request.arrival + request.route->target_latency - now -
                         request.service->averages.ServiceTime();
@@ -165,13 +166,14 @@
   return std::clamp(room * later, kMinRetryAfter, kMaxRetryAfter) * (1 + Draw(random));
 }
 
-/// Of a request that a used-up limit turned away: when permits are there again. All nodes turn away
-/// what is beyond it, so that callers come back spread over as much again.
+/// Returns the retry delay of a request that an exhausted rate limit rejected: until permits are
+/// available again. All nodes reject the excess, so the jitter spreads the callers over up to twice
+/// the delay.
 Duration RetryAfterLimit(const Choice& choice, std::mt19937_64& random, Time now) {
   return std::clamp(choice.try_again - now, kMinRetryAfter, kMaxRetryAfter) * (1 + Draw(random));
 }
 
-/// `owner`: it is asked for keys that it owns, so this node's limit there counts.
+/// `owner`: the back end is used as an owner of keys, so this node's limit for it applies.
 std::string DescribeLoad(const BackendState& backend, bool owner, Time now) {
   const load::LoadEstimate& load = backend.load;
   const double limit = backend.owner_limit.limit();
