--- a/src/core/forwarding/deadlines.cc
+++ b/src/core/forwarding/deadlines.cc
@@ -11,7 +11,7 @@
 constexpr double kHedgeTargetShare = 0.5;
 /// Hedges may use this share of the retry budget; the rest is reserved for failed requests.
 constexpr double kHedgeBudgetShare = 0.5;
-/// Delay before a hedge that had no suitable back end is considered again.
+/// Delay before a hedge that was not possible is considered again.
 constexpr Duration kHedgeRecheckInterval = absl::Milliseconds(20);
 
 }  // namespace
--- a/tests/unit/forwarding/caller_gone_test.cc
+++ b/tests/unit/forwarding/caller_gone_test.cc
@@ -1,4 +1,4 @@
-// What happens to a request whose caller has left.
+// Requests whose caller disconnects before the final answer.
 #include <boost/test/unit_test.hpp>
 
 #include "dispatcher_harness.h"
@@ -34,13 +34,13 @@
   BOOST_TEST(HasNoDecisions());
 }
 
-BOOST_AUTO_TEST_CASE(at_most_once_attempt_that_has_not_left_is_cancelled) {
+BOOST_AUTO_TEST_CASE(unsent_at_most_once_attempt_is_cancelled) {
   const SendDecision send = StartAndSend("/books/1");
   dispatcher.OnCallerDisconnected(last, now);
   BOOST_TEST(Only<CancelDecision>().attempt == send.attempt);
 }
 
-BOOST_AUTO_TEST_CASE(forgotten_attempt_holds_its_slot_until_it_ends) {
+BOOST_AUTO_TEST_CASE(detached_attempt_occupies_its_slot_until_it_ends) {
   RemoveBackend("b-2");
   std::vector<SendDecision> held;
   for (int i = 0; i < 10; ++i) {
@@ -59,7 +59,7 @@
 BOOST_AUTO_TEST_CASE(waiting_request_is_dropped) {
   Drain("b-1");
   Drain("b-2");
-  // More than may wait at a time: each must give its place back.
+  // More requests than may wait at the same time: each must release its place in the queue.
   for (int i = 0; i < 100; ++i) {
     Start("/books/1");
     BOOST_REQUIRE(HasNoDecisions());
--- a/tests/unit/forwarding/deadline_test.cc
+++ b/tests/unit/forwarding/deadline_test.cc
@@ -1,4 +1,4 @@
-// The final answer when the time is over, and that none comes later.
+// The final answer at a request's deadline, and that no decision follows it.
 #include <boost/test/unit_test.hpp>
 
 #include "dispatcher_harness.h"
@@ -15,7 +15,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(deadline, Fleet)
 
-BOOST_AUTO_TEST_CASE(earlier_of_route_timeout_and_deadline_less_the_margin_counts) {
+BOOST_AUTO_TEST_CASE(answer_is_due_at_the_earlier_of_route_timeout_and_deadline_minus_the_margin) {
   DispatcherSettings settings = DefaultSettings();
   settings.answer_margin = absl::Milliseconds(5);
   DispatcherHarness harness(settings);
@@ -46,7 +46,7 @@
   BOOST_TEST(harness.HasNoDecisions());
 }
 
-BOOST_AUTO_TEST_CASE(at_most_once_attempt_is_left_to_finish_unheard) {
+BOOST_AUTO_TEST_CASE(at_most_once_attempt_finishes_and_its_late_answer_is_ignored) {
   const SendDecision send = StartAndSend("/books/1", absl::Seconds(1));
   Sent(send);
   Advance(absl::Seconds(1));
@@ -55,23 +55,23 @@
   BOOST_TEST(HasNoDecisions());
 }
 
-BOOST_AUTO_TEST_CASE(request_that_never_left_is_refused_with_its_promise_kept) {
+BOOST_AUTO_TEST_CASE(unsent_request_is_cancelled_and_answered_503) {
   const SendDecision send = StartAndSend("/books/1", absl::Milliseconds(100));
   BOOST_TEST((send.connect_by <= now + absl::Milliseconds(100)));
   Advance(absl::Milliseconds(100));
   const auto decisions = dispatcher.TakeDecisions();
   BOOST_REQUIRE_EQUAL(decisions.size(), 2U);
-  // Without the cancellation it could still run.
+  // Without the cancellation the request could still run, although 503 says that it did not.
   BOOST_TEST(std::get<CancelDecision>(decisions[0].decision).attempt == send.attempt);
   BOOST_TEST(std::get<AnswerDecision>(decisions[1].decision).status == 503);
 }
 
-BOOST_AUTO_TEST_CASE(request_that_comes_too_late_is_not_sent) {
+BOOST_AUTO_TEST_CASE(request_past_its_deadline_is_not_sent) {
   Start("/books/1", absl::ZeroDuration());
   BOOST_TEST(Only<AnswerDecision>().status == 503);
 }
 
-BOOST_AUTO_TEST_CASE(no_waiting_when_it_could_not_be_served_any_more) {
+BOOST_AUTO_TEST_CASE(request_without_time_to_be_served_does_not_wait) {
   Drain("b-1");
   Drain("b-2");
   Start("/books/1", absl::Milliseconds(60));
--- a/tests/unit/forwarding/dispatcher_harness.cc
+++ b/tests/unit/forwarding/dispatcher_harness.cc
@@ -29,7 +29,7 @@
   DispatcherSettings settings;
   settings.zone = std::string("a");
   settings.answer_margin = absl::ZeroDuration();
-  // The tests name times that follow from this.
+  // The tests use times that depend on this value.
   settings.max_wait_share = 0.25;
   return settings;
 }
--- a/tests/unit/forwarding/dispatcher_harness.h
+++ b/tests/unit/forwarding/dispatcher_harness.h
@@ -1,4 +1,4 @@
-// A dispatcher with a clock that tests move, a small catalog, and short names for what it decides.
+// A dispatcher with a simulated clock, a small catalog, and helpers to inspect its decisions.
 #pragma once
 
 #include <boost/test/unit_test.hpp>
@@ -14,8 +14,8 @@
 namespace ladderstream::forwarding {
 
 /// Services: "cards" (any back end), "books" (any back end, at most once), "scripts" (sharded),
-/// each with a route "/<name>/" of host "h.example". Starts 20 s after the configuration came, so
-/// that the retry budget is full.
+/// each with a route "/<name>/" of host "h.example". The clock starts 20 s after the configuration
+/// was set, so that the retry budget is full.
 class DispatcherHarness {
  public:
   explicit DispatcherHarness(const DispatcherSettings& settings = DefaultSettings());
@@ -28,20 +28,20 @@
   void Configure(const catalog::Configuration& configuration);
   void AddBackend(const catalog::Backend& backend);
   void AddBackends(const std::string& service, const std::vector<std::string>& ids);
-  /// `age`: how long ago this may have happened.
+  /// `age`: upper bound of how long ago the change happened.
   void RemoveBackend(const std::string& id, bool store_troubled = false,
                      Duration age = absl::ZeroDuration());
   void Drain(const std::string& id, Duration age = absl::ZeroDuration());
-  /// Gives all keys of "scripts" to `owner`, as the next map.
+  /// Publishes the next map, in which `owner` owns all keys of "scripts".
   void Own(const std::string& owner, std::vector<ownership::KeyRange> moving = {});
 
   RequestHandle Start(const std::string& target, Duration deadline = absl::Seconds(2),
                       std::optional<ownership::Key> key = std::nullopt);
-  /// Starts and expects the first decision to be a send.
+  /// Starts a request and requires its first decision to be a send.
   SendDecision StartAndSend(const std::string& target, Duration deadline = absl::Seconds(2),
                             std::optional<ownership::Key> key = std::nullopt);
 
-  /// Moves the clock, with a tick at every wake on the way.
+  /// Advances the clock, with a tick at every wake-up time on the way.
   void Advance(Duration time);
   void Sent(const SendDecision& send) { dispatcher.OnSent(send.attempt, now); }
   void Fail(const SendDecision& send, AttemptFailure failure) {
@@ -49,11 +49,11 @@
   }
   void Answer(const SendDecision& send, int status = 200, uint32_t running = 1,
               uint32_t waiting = 0);
-  /// An answer that says that the request did not run.
+  /// Answers that the request was not run.
   void Refuse(const SendDecision& send, int status = 503, uint32_t waiting = 8,
               uint32_t running = 2);
 
-  /// The only decision since the last look, which is of this kind.
+  /// Returns the only decision since the last call, which must be of this kind.
   template <typename T>
   T Only() {
     const std::vector<RequestDecision> decisions = dispatcher.TakeDecisions();
@@ -63,7 +63,7 @@
                           "kind of decision: " << decisions.front().decision.index());
     return *decision;
   }
-  /// All decisions of this kind since the last look; others are dropped.
+  /// Returns all decisions of this kind since the last call; others are dropped.
   template <typename T>
   std::vector<T> All() {
     std::vector<T> found;
@@ -79,7 +79,7 @@
   Time now = absl::FromUnixSeconds(1000);
   Dispatcher dispatcher;
   std::vector<catalog::Backend> backends;
-  /// What the dispatcher was told.
+  /// The registrations last passed to the dispatcher.
   catalog::BackendSet registered;
   RequestHandle last = 0;
   /// Runs after each tick.
--- a/tests/unit/forwarding/drain_test.cc
+++ b/tests/unit/forwarding/drain_test.cc
@@ -1,4 +1,5 @@
-// No new work for back ends that leave; patience with registrations that lapse.
+// Back ends that leave get no new work; registrations that disappear while the store has problems
+// are kept for a grace period.
 #include <boost/test/unit_test.hpp>
 
 #include "dispatcher_harness.h"
@@ -16,7 +17,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(what_was_decided_before_may_not_go_once_the_back_end_leaves) {
+BOOST_AUTO_TEST_CASE(attempt_decided_on_before_the_back_end_leaves_may_not_be_sent_afterwards) {
   AddBackends("cards", {"c-1"});
   AddBackends("scripts", {"s-1"});
   Own("s-1");
@@ -26,7 +27,7 @@
   Drain("c-1");
   Drain("s-1");
   BOOST_TEST(!dispatcher.MaySend(card.attempt, now));
-  // The keys of an owner have nobody else until they have moved.
+  // No other back end can serve the owner's keys until they have moved.
   BOOST_TEST(dispatcher.MaySend(script.attempt, now));
   Advance(DefaultSettings().drain_serving);
   BOOST_TEST(!dispatcher.MaySend(script.attempt, now));
@@ -58,7 +59,7 @@
   BOOST_TEST((refused.retry_after > absl::ZeroDuration()));
 }
 
-BOOST_AUTO_TEST_CASE(back_end_that_is_gone_gets_no_new_work) {
+BOOST_AUTO_TEST_CASE(deregistered_back_end_gets_no_new_work) {
   AddBackends("cards", {"c-1", "c-2"});
   RemoveBackend("c-1");
   for (int i = 0; i < 20; ++i) {
@@ -66,12 +67,12 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(lapse_while_the_store_is_troubled_is_believed_only_later) {
+BOOST_AUTO_TEST_CASE(expiry_during_store_problems_takes_effect_after_the_grace_period) {
   AddBackends("cards", {"c-1"});
   RemoveBackend("c-1", true);
   Advance(absl::Milliseconds(1400));
   BOOST_TEST(StartAndSend("/cards/1").backend == "c-1");
-  // A second look at the same gap does not start the time anew.
+  // A second update without the registration does not restart the grace period.
   dispatcher.ChangeBackends(registered.Replace({}), {true, now}, now);
   Advance(absl::Milliseconds(101));
   Start("/cards/1");
@@ -80,7 +81,7 @@
   BOOST_TEST(All<SendDecision>().size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(lapse_does_not_bring_a_draining_back_end_back) {
+BOOST_AUTO_TEST_CASE(expired_registration_does_not_make_a_draining_back_end_usable) {
   AddBackends("cards", {"c-1"});
   Drain("c-1");
   RemoveBackend("c-1", true);
@@ -88,7 +89,7 @@
   BOOST_TEST(All<SendDecision>().empty());
 }
 
-BOOST_AUTO_TEST_CASE(ready_only_while_every_service_has_somebody) {
+BOOST_AUTO_TEST_CASE(ready_only_while_every_service_has_a_usable_back_end) {
   AddBackends("cards", {"c-1"});
   AddBackends("books", {"b-1"});
   AddBackends("scripts", {"s-1"});
--- a/tests/unit/forwarding/fleet_retry_budget_test.cc
+++ b/tests/unit/forwarding/fleet_retry_budget_test.cc
@@ -1,4 +1,5 @@
-// What the retry budgets of all nodes add up to, while requests fail and callers move.
+// The sum of all nodes' retries stays within the budget while requests fail and callers move
+// between nodes.
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
 #include <random>
@@ -12,18 +13,18 @@
 constexpr double kRatio = 0.2;
 constexpr double kSlack = 180;
 constexpr Duration kWindow = absl::Seconds(10);
-/// What a node uses of the fleet's budget, as in Dispatcher.
+/// Shares of the fleet's budget that a node uses, as in Dispatcher.
 constexpr double kRatioInUse = 0.85;
 constexpr double kSlackInUse = 0.8;
 constexpr uint64_t kSeeds = 10;
 
 enum class Callers {
   kStay,
-  /// Some nodes have many times as many as others.
+  /// Some nodes have many times as many callers as others.
   kUneven,
-  /// Those of half of the nodes go to the other half while requests fail.
+  /// While requests fail, the callers of half of the nodes move to the other half.
   kMove,
-  /// Three in five nodes are killed and come back knowing nothing.
+  /// Three in five nodes are killed and restart without state.
   kFleeFromKilledNodes,
 };
 
@@ -53,7 +54,7 @@
     }
   }
 
-  /// The largest share of the fleet's budget that any window used.
+  /// Returns the largest share of the fleet's budget that was used in any window.
   double Run() {
     std::exponential_distribution<double> gap(scenario_.requests_per_second);
     while (now_ < kStart + absl::Seconds(32)) {
@@ -141,7 +142,7 @@
   for (scenario.seed = 1; scenario.seed <= kSeeds; ++scenario.seed) {
     most = std::max(most, Fleet(scenario).Run());
   }
-  BOOST_TEST_MESSAGE("of the budget used at most: " << most);
+  BOOST_TEST_MESSAGE("largest share of the budget used: " << most);
   return most;
 }
 
@@ -153,8 +154,9 @@
 
 BOOST_AUTO_TEST_SUITE(fleet_retry_budget)
 
-// Where a node may keep a whole window's retries: 1.34, and 1.18.
-BOOST_AUTO_TEST_CASE(callers_that_move_while_requests_fail_are_not_retried_for_twice) {
+// If a node could save up the retries of a full window, these would use 1.34 and 1.18 of the
+// budget.
+BOOST_AUTO_TEST_CASE(callers_that_move_while_requests_fail_keep_the_bound) {
   BOOST_TEST(MaxBudgetUsage(With(Callers::kMove)) <= 1);
   BOOST_TEST(MaxBudgetUsage(With(Callers::kFleeFromKilledNodes)) <= 1);
 }
@@ -172,7 +174,7 @@
   BOOST_TEST(MaxBudgetUsage(scenario) <= 1);
 }
 
-// So what is cut into shares by node is not what binds.
+// Shows that the division of the budget into shares per node is not the limiting factor.
 BOOST_AUTO_TEST_CASE(uneven_demand_can_use_as_much_as_even_demand) {
   const double even = MaxBudgetUsage(With(Callers::kStay));
   BOOST_TEST(even > 0.8);
--- a/tests/unit/forwarding/fuzz_test.cc
+++ b/tests/unit/forwarding/fuzz_test.cc
@@ -1,5 +1,5 @@
-// Random events in random order: whatever happens, each request gets one final answer in time, and
-// no promise is broken.
+// Random events in random order: each request gets exactly one final answer before its deadline, no
+// at-most-once request may run twice, and 503 is only answered for requests that did not run.
 #include <algorithm>
 #include <array>
 #include <boost/test/unit_test.hpp>
@@ -15,7 +15,7 @@
 struct ObservedRequest {
   Time answer_by;
   bool at_most_once = false;
-  /// Attempts of which no refusal, and no failure before sending, is known.
+  /// Attempts that were neither refused nor failed before sending.
   int may_run = 0;
   std::set<std::string> reached;
   bool finished = false;
@@ -192,7 +192,7 @@
   std::set<AttemptHandle> sent_;
 };
 
-BOOST_AUTO_TEST_CASE(no_order_of_events_breaks_a_promise) {
+BOOST_AUTO_TEST_CASE(random_events_keep_the_guarantees_of_requests) {
   for (uint64_t seed = 1; seed <= 12; ++seed) {
     BOOST_TEST_CONTEXT("seed " << seed) { RandomizedDispatcher(seed).Run(); }
   }
--- a/tests/unit/forwarding/hedge_test.cc
+++ b/tests/unit/forwarding/hedge_test.cc
@@ -1,4 +1,4 @@
-// A second attempt beside a slow one: when it is made, and what becomes of the slower.
+// Hedging of slow attempts: when the second attempt is made, and what happens to the slower one.
 #include <boost/test/unit_test.hpp>
 
 #include "dispatcher_harness.h"
@@ -10,7 +10,7 @@
   Slow() {
     AddBackends("cards", {"c-1", "c-2"});
     AddBackends("books", {"b-1", "b-2"});
-    // Service times of 50 ms are learned.
+    // Establishes service times of 50 ms.
     for (int i = 0; i < 40; ++i) {
       const SendDecision send = StartAndSend("/cards/1");
       Sent(send);
@@ -23,7 +23,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(hedge, Slow)
 
-BOOST_AUTO_TEST_CASE(first_usable_answer_is_passed_on_and_the_other_attempt_cancelled) {
+BOOST_AUTO_TEST_CASE(first_usable_answer_is_relayed_and_the_other_attempt_cancelled) {
   const SendDecision first = StartAndSend("/cards/1");
   Sent(first);
   Advance(absl::Milliseconds(190));
@@ -42,7 +42,7 @@
   BOOST_TEST(HasNoDecisions());
 }
 
-BOOST_AUTO_TEST_CASE(failed_attempt_leaves_the_request_to_the_other) {
+BOOST_AUTO_TEST_CASE(request_continues_with_the_other_attempt_after_one_fails) {
   const SendDecision first = StartAndSend("/cards/1");
   Sent(first);
   Advance(absl::Milliseconds(210));
@@ -54,7 +54,7 @@
   BOOST_TEST(Only<RelayDecision>().attempt == first.attempt);
 }
 
-BOOST_AUTO_TEST_CASE(back_end_that_loses_against_hedges_gets_less) {
+BOOST_AUTO_TEST_CASE(back_end_slower_than_its_hedges_gets_fewer_requests) {
   int to_slow = 0;
   for (int i = 0; i < 40; ++i) {
     SendDecision send = StartAndSend("/cards/1");
--- a/tests/unit/forwarding/overload_test.cc
+++ b/tests/unit/forwarding/overload_test.cc
@@ -1,4 +1,4 @@
-// A service that is asked for more than it bears, through the dispatcher.
+// Admission control of an overloaded service through the dispatcher.
 #include <boost/test/unit_test.hpp>
 #include <deque>
 
@@ -9,16 +9,16 @@
 
 constexpr Duration kGap = absl::Milliseconds(10);
 constexpr Duration kWork = absl::Milliseconds(100);
-/// Of so many requests, ill back ends serve one.
+/// Faulty back ends serve one in this many requests.
 constexpr uint64_t kFaultyServeOneOf = 3;
 
-/// A request each 10 ms, each answered after 100 ms; every answer tells of `waiting` requests
-/// beside two slots.
+/// One request every 10 ms, each answered after 100 ms; every answer reports `waiting` queued
+/// requests and two busy slots.
 struct Flood : DispatcherHarness {
   Flood() { AddBackends("cards", {"c-1", "c-2", "c-3", "c-4"}); }
 
-  /// The requests that were refused at once as the service is overloaded.
-  std::vector<AnswerDecision> Play(int requests, uint32_t waiting) {
+  /// Returns the answers of requests that were refused immediately due to overload.
+  std::vector<AnswerDecision> Run(int requests, uint32_t waiting) {
     std::vector<AnswerDecision> refused;
     for (int i = 0; i < requests; ++i) {
       Start("/cards/1");
@@ -39,7 +39,7 @@
     if (const auto* send = std::get_if<SendDecision>(&decision)) {
       Sent(*send);
       if (++sends % kFaultyServeOneOf != 0 && faulty) {
-        // With free slots and no queue, by its own word.
+        // The back end reports free slots and no queue.
         Refuse(*send, 503, 0, 0);
         for (const RequestDecision& decided : dispatcher.TakeDecisions()) {
           HandleDecision(decided.decision, refused);
@@ -60,15 +60,15 @@
   };
   std::deque<InFlight> in_flight;
   uint64_t sends = 0;
-  /// Back ends turn most requests away though they have room.
+  /// Back ends reject most requests despite free slots.
   bool faulty = false;
 };
 
 BOOST_FIXTURE_TEST_SUITE(overload, Flood)
 
-BOOST_AUTO_TEST_CASE(long_queues_turn_some_away_at_once_with_a_time_to_come_back) {
-  Play(100, 0);
-  const std::vector<AnswerDecision> refused = Play(100, 20);
+BOOST_AUTO_TEST_CASE(long_queues_cause_immediate_refusals_with_retry_after) {
+  Run(100, 0);
+  const std::vector<AnswerDecision> refused = Run(100, 20);
   BOOST_TEST(refused.size() > 10U);
   for (const AnswerDecision& answer : refused) {
     BOOST_TEST(answer.status == 503);
@@ -78,19 +78,19 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(short_queues_turn_nobody_away) { BOOST_TEST(Play(300, 1).empty()); }
+BOOST_AUTO_TEST_CASE(short_queues_cause_no_refusals) { BOOST_TEST(Run(300, 1).empty()); }
 
-BOOST_AUTO_TEST_CASE(an_ill_service_whose_queues_are_short_is_let_alone) {
-  Play(100, 0);
-  BOOST_TEST(!Play(100, 20).empty());
+BOOST_AUTO_TEST_CASE(a_faulty_service_with_short_queues_is_not_limited) {
+  Run(100, 0);
+  BOOST_TEST(!Run(100, 20).empty());
   faulty = true;
-  Play(200, 0);
-  BOOST_TEST(Play(200, 0).empty());
+  Run(200, 0);
+  BOOST_TEST(Run(200, 0).empty());
 }
 
-BOOST_AUTO_TEST_CASE(the_level_is_told_when_it_changes) {
+BOOST_AUTO_TEST_CASE(a_change_of_the_admission_level_is_reported) {
   BOOST_TEST(dispatcher.MinAdmissionShare() == 1);
-  Play(100, 20);
+  Run(100, 20);
   BOOST_TEST(dispatcher.MinAdmissionShare() < 1);
   std::vector<std::string> events;
   for (const BackendStateChange& belief : dispatcher.TakeStateChanges()) {
--- a/tests/unit/forwarding/restart_test.cc
+++ b/tests/unit/forwarding/restart_test.cc
@@ -1,4 +1,5 @@
-// Back ends that start again under their names: nothing that was learned before holds for them.
+// Back ends that restart under the same name start with fresh state; the earlier incarnation gets
+// no more requests.
 #include <boost/test/unit_test.hpp>
 
 #include "core/catalog/incarnation_id.h"
@@ -8,7 +9,8 @@
 namespace {
 
 struct Fixture : DispatcherHarness {
-  /// The back end starts again; the store may be troubled, and nobody said that it left.
+  /// Restarts the back end without an announced shutdown; its earlier registration disappears in
+  /// the same update.
   void Restart(const std::string& instance, uint64_t from, uint64_t to,
                const std::string& service) {
     std::erase_if(backends, [&](const catalog::Backend& backend) {
@@ -20,7 +22,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(restart, Fixture)
 
-BOOST_AUTO_TEST_CASE(the_earlier_incarnation_gets_nothing_more) {
+BOOST_AUTO_TEST_CASE(the_earlier_incarnation_gets_no_more_requests) {
   AddBackends("cards", {"c-1@1"});
   AddBackends("scripts", {"s-1@1"});
   Own("s-1@1");
@@ -47,7 +49,7 @@
   BOOST_TEST((StartAndSend("/cards/1").expected_wait == of_a_new_one));
 }
 
-BOOST_AUTO_TEST_CASE(another_back_end_of_a_like_name_is_left_alone) {
+BOOST_AUTO_TEST_CASE(another_back_end_with_a_similar_name_is_unaffected) {
   AddBackends("cards", {"c-1@1"});
   AddBackends("cards", {"c-11@2"});
   const SendDecision card = StartAndSend("/cards/1");
--- a/tests/unit/forwarding/retry_budget_test.cc
+++ b/tests/unit/forwarding/retry_budget_test.cc
@@ -1,4 +1,4 @@
-// The bound on what is sent beyond first attempts, under loads that ask for more.
+// The retry budget holds under loads that would exceed it.
 #include "core/allowance/retry_budget.h"
 
 #include <algorithm>
@@ -10,7 +10,7 @@
 namespace ladderstream::forwarding {
 namespace {
 
-/// How many of `times`, which rise, lie in the window that begins at `start`.
+/// Returns how many of the ascending `times` lie in the window that begins at `start`.
 size_t CountIn(const std::vector<Time>& times, Time start, Duration window) {
   const auto first = std::lower_bound(times.begin(), times.end(), start);
   const auto end = std::upper_bound(first, times.end(), start + window);
@@ -19,7 +19,7 @@
 
 BOOST_AUTO_TEST_SUITE(retry_budget)
 
-BOOST_AUTO_TEST_CASE(no_window_holds_more_than_its_share) {
+BOOST_AUTO_TEST_CASE(retries_in_any_window_stay_within_the_budget) {
   DispatcherSettings settings = DispatcherHarness::DefaultSettings();
   settings.node_count = 4;
   DispatcherHarness harness(settings);
@@ -27,7 +27,7 @@
   std::vector<Time> requests;
   std::vector<Time> retries;
   size_t max_retries = 0;
-  // A calm time, a flood that all fails, and a calm time again.
+  // Normal load, a flood of requests that all fail, and normal load again.
   for (int i = 0; i < 6000; ++i) {
     const bool flood = i >= 500 && i < 5500;
     harness.Advance(flood ? absl::Milliseconds(4) : absl::Milliseconds(40));
@@ -57,7 +57,7 @@
                      0.2 * static_cast<double>(allowing) + 60.0 / 4);
     max_retries = std::max(max_retries, sent_again);
   }
-  // The bound was put to the test.
+  // The load produced enough retries to exercise the bound.
   BOOST_TEST(max_retries > 100U);
 }
 
@@ -70,7 +70,7 @@
   BOOST_TEST(budget.Allows(limits, 1, start + absl::Seconds(3)));
 }
 
-BOOST_AUTO_TEST_CASE(a_changed_budget_counts_from_the_next_retry) {
+BOOST_AUTO_TEST_CASE(a_changed_budget_applies_from_the_next_retry) {
   DispatcherHarness harness(DispatcherHarness::DefaultSettings());
   harness.AddBackends("cards", {"c-1", "c-2"});
   harness.dispatcher.SetRetryBudget(0, 0, absl::Seconds(10));
@@ -86,7 +86,7 @@
   harness.Only<SendDecision>();
 }
 
-BOOST_AUTO_TEST_CASE(what_is_left_is_told_for_the_service_with_the_fewest) {
+BOOST_AUTO_TEST_CASE(retries_left_are_reported_for_the_service_with_the_fewest) {
   DispatcherSettings settings = DispatcherHarness::DefaultSettings();
   settings.budget_ratio = 0;
   settings.budget_slack = 5;
@@ -104,7 +104,7 @@
   BOOST_TEST(harness.dispatcher.RetriesLeft(harness.now) == 4);
 }
 
-BOOST_AUTO_TEST_CASE(budget_belongs_to_one_service) {
+BOOST_AUTO_TEST_CASE(each_service_has_its_own_budget) {
   DispatcherSettings settings = DispatcherHarness::DefaultSettings();
   settings.budget_slack = 1.3;
   DispatcherHarness harness(settings);
@@ -124,7 +124,7 @@
   harness.Only<SendDecision>();
 }
 
-BOOST_AUTO_TEST_CASE(retry_that_never_left_is_given_back) {
+BOOST_AUTO_TEST_CASE(unsent_retry_is_refunded) {
   DispatcherSettings settings = DispatcherHarness::DefaultSettings();
   settings.budget_slack = 1.3;
   DispatcherHarness harness(settings);
--- a/tests/unit/forwarding/retry_test.cc
+++ b/tests/unit/forwarding/retry_test.cc
@@ -1,4 +1,4 @@
-// When a request may be sent again, and what its caller may conclude from the final answer.
+// When a request may be retried, and what its caller may conclude from the final answer.
 #include <boost/test/unit_test.hpp>
 
 #include "dispatcher_harness.h"
@@ -15,7 +15,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(retry, Fleet)
 
-BOOST_AUTO_TEST_CASE(at_most_once_is_not_sent_again_once_it_may_have_left) {
+BOOST_AUTO_TEST_CASE(at_most_once_is_not_retried_once_it_may_have_been_sent) {
   SendDecision send = StartAndSend("/books/1");
   Sent(send);
   Fail(send, AttemptFailure::kLost);
@@ -33,13 +33,13 @@
   BOOST_TEST(HasNoDecisions());
 }
 
-BOOST_AUTO_TEST_CASE(lost_counts_as_left_though_nothing_said_that_it_was_sent) {
+BOOST_AUTO_TEST_CASE(lost_attempt_counts_as_sent_without_an_on_sent_event) {
   const SendDecision send = StartAndSend("/books/1");
   Fail(send, AttemptFailure::kLost);
   BOOST_TEST(Only<AnswerDecision>().status == 502);
 }
 
-BOOST_AUTO_TEST_CASE(at_most_once_is_sent_again_while_it_surely_never_left) {
+BOOST_AUTO_TEST_CASE(at_most_once_is_retried_while_it_was_certainly_never_run) {
   const SendDecision first = StartAndSend("/books/1");
   Fail(first, AttemptFailure::kConnectRefused);
   const auto second = Only<SendDecision>();
@@ -53,7 +53,7 @@
   BOOST_TEST(Only<RelayDecision>().attempt == third.attempt);
 }
 
-BOOST_AUTO_TEST_CASE(refusal_of_a_back_end_is_passed_on_only_as_a_promise_that_holds) {
+BOOST_AUTO_TEST_CASE(unconfirmed_refusal_is_retried_or_answered_502) {
   for (const int status : {503, 429, 408}) {
     const SendDecision at_most_once = StartAndSend("/books/1");
     Sent(at_most_once);
@@ -71,7 +71,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(errors_that_promise_nothing_are_passed_on) {
+BOOST_AUTO_TEST_CASE(errors_that_do_not_imply_a_request_was_not_run_are_relayed) {
   for (const int status : {500, 504, 404, 400}) {
     const SendDecision send = StartAndSend("/books/1");
     Sent(send);
@@ -80,7 +80,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(all_refusals_end_in_503_with_a_short_time_to_come_back) {
+BOOST_AUTO_TEST_CASE(request_refused_by_all_attempts_gets_503_with_a_short_retry_after) {
   for (const char* target : {"/books/1", "/cards/1"}) {
     SendDecision send = StartAndSend(target);
     for (int attempt = 1; attempt < 3; ++attempt) {
@@ -101,7 +101,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(one_lost_attempt_forbids_503_for_good) {
+BOOST_AUTO_TEST_CASE(request_with_a_lost_attempt_is_never_answered_503) {
   const SendDecision first = StartAndSend("/cards/1");
   Sent(first);
   Fail(first, AttemptFailure::kLost);
@@ -116,7 +116,7 @@
   BOOST_TEST(Only<AnswerDecision>().status == 502);
 }
 
-BOOST_AUTO_TEST_CASE(max_attempts_bounds_back_ends_that_were_reached) {
+BOOST_AUTO_TEST_CASE(max_attempts_counts_only_attempts_that_were_sent) {
   catalog::Configuration single = DefaultConfiguration();
   single.version = 2;
   single.routes[0].max_attempts = 1;
@@ -129,7 +129,7 @@
   BOOST_TEST(Only<AnswerDecision>().status == 502);
 }
 
-BOOST_AUTO_TEST_CASE(unreachable_service_is_refused_not_tried_for_ever) {
+BOOST_AUTO_TEST_CASE(request_to_an_unreachable_service_is_refused_after_a_few_attempts) {
   std::vector<SendDecision> sends;
   Start("/books/1");
   for (auto sent = All<SendDecision>(); !sent.empty(); sent = All<SendDecision>()) {
@@ -146,7 +146,7 @@
   BOOST_TEST((answer.code == ResultCode::kBackendUnreachable));
 }
 
-BOOST_AUTO_TEST_CASE(higher_rank_waits_in_front) {
+BOOST_AUTO_TEST_CASE(waiting_requests_are_served_by_rank) {
   catalog::Configuration ranked = DefaultConfiguration();
   ranked.version = 2;
   ranked.routes[0].priority = 5;
--- a/tests/unit/forwarding/suspension_test.cc
+++ b/tests/unit/forwarding/suspension_test.cc
@@ -1,5 +1,5 @@
-// What a node holds to be true runs out while its machine sleeps: the clock jumps, no timer has
-// gone off yet, and the first thing that happens may be a request or an answer.
+// State with an expiry time expires while the node's machine is suspended: on resume the clock
+// jumps, and a request or an answer may arrive before any timer has fired.
 #include <boost/test/unit_test.hpp>
 
 #include "dispatcher_harness.h"
@@ -24,7 +24,7 @@
   BOOST_TEST((Only<AnswerDecision>().code == ResultCode::kNoOwner));
 }
 
-BOOST_AUTO_TEST_CASE(a_leaving_owner_gets_nothing_more) {
+BOOST_AUTO_TEST_CASE(a_leaving_owner_gets_no_more_requests) {
   AddBackends("scripts", {"owner"});
   Own("owner");
   Drain("owner");
@@ -39,12 +39,12 @@
   Start("/scripts/x", absl::Seconds(1), 7);
   BOOST_TEST(HasNoDecisions());
   Sleep();
-  // Its keys have arrived meanwhile, and that is heard before any timer goes off.
+  // The move of its keys completed meanwhile, and the new map arrives before any timer fires.
   Own("owner");
   BOOST_TEST(Only<AnswerDecision>().status != 200);
 }
 
-BOOST_AUTO_TEST_CASE(a_failed_attempt_is_not_repeated_beyond_the_deadline) {
+BOOST_AUTO_TEST_CASE(a_failed_attempt_is_not_retried_after_the_deadline) {
   AddBackends("cards", {"a", "b"});
   const SendDecision send = StartAndSend("/cards/x", absl::Seconds(1));
   Sent(send);
@@ -53,7 +53,7 @@
   BOOST_TEST(All<SendDecision>().empty());
 }
 
-BOOST_AUTO_TEST_CASE(a_connection_that_comes_up_carries_nothing_to_an_owner_that_left) {
+BOOST_AUTO_TEST_CASE(an_attempt_to_an_owner_that_left_may_not_be_sent) {
   AddBackends("scripts", {"owner"});
   Own("owner");
   const SendDecision send = StartAndSend("/scripts/x", absl::Seconds(20), 7);
@@ -62,7 +62,7 @@
   BOOST_TEST(!dispatcher.MaySend(send.attempt, now));
 }
 
-BOOST_AUTO_TEST_CASE(a_rest_that_was_asked_for_counts_the_time_asleep) {
+BOOST_AUTO_TEST_CASE(a_requested_backoff_includes_the_time_suspended) {
   AddBackends("scripts", {"owner"});
   Own("owner");
   const SendDecision send = StartAndSend("/scripts/x", absl::Seconds(2), 7);
