--- a/src/core/forwarding/dispatch.cc
+++ b/src/core/forwarding/dispatch.cc
@@ -13,7 +13,7 @@
 /// Share of the target latency that an attempt may take; the rest is for waiting on this node and
 /// for returning the answer to the caller.
 constexpr double kAttemptTimeShare = 0.75;
-/// A waiting request is redispatched by its timer at most this often.
+/// Minimum interval between two timer-driven dispatches of a waiting request.
 constexpr Duration kMinRedispatchInterval = absl::Milliseconds(5);
 /// Share of the target latency that queues may take even when the service time nearly reaches it.
 constexpr double kMinSlackShare = 0.1;
