--- a/src/core/forwarding/dispatch.cc
+++ b/src/core/forwarding/dispatch.cc
@@ -6,17 +6,17 @@
 namespace ladderstream::forwarding {
 namespace {
 
-/// Sends of one request, counting those that never left.
+/// Sends of one request, including those that failed before any byte was sent.
 constexpr uint32_t kMaxSends = 8;
-/// Requests of one service that may wait at a time.
+/// Requests of one service that may wait at the same time.
 constexpr size_t kMaxWaiting = 64;
-/// The share of the target latency that an attempt may take; the rest is for waiting here and for
-/// the way to the caller. docs/design/018 weighs it.
-constexpr double kTimelyShare = 0.75;
-/// A waiting request is not looked at more often than this without cause.
-constexpr Duration kLeastWait = absl::Milliseconds(5);
-/// Where work takes about as long as the target latency, queues may still take this share of it.
-constexpr double kLeastSlackShare = 0.1;
+/// Share of the target latency that an attempt may take; the rest is for waiting on this node and
+/// for returning the answer to the caller.
+constexpr double kAttemptTimeShare = 0.75;
+/// Minimum interval between two timer-driven dispatches of a waiting request.
+constexpr Duration kMinRedispatchInterval = absl::Milliseconds(5);
+/// Share of the target latency that queues may take even when the service time nearly reaches it.
+constexpr double kMinSlackShare = 0.1;
 
 }  // namespace
 
@@ -25,8 +25,8 @@
     FinishTimeOver(request, now);
     return;
   }
-  const bool again = request.departures > 0;
-  if (again && request.departures >= std::max(request.route->max_attempts, 1U)) {
+  const bool again = request.counted_attempts > 0;
+  if (again && request.counted_attempts >= std::max(request.route->max_attempts, 1U)) {
     FinishUnserved(request, Choice(), StopCause::kAttemptsSpent, now);
     return;
   }
@@ -44,7 +44,7 @@
   } else if (choice.backend != nullptr) {
     Send(request, choice, now);
   } else if (!MayWait(request, choice, now)) {
-    FinishUnserved(request, choice, StopCause::kObstacle, now);
+    FinishUnserved(request, choice, StopCause::kUnavailable, now);
   } else if (!request.waiting && request.service->waiting.size() >= kMaxWaiting) {
     FinishUnserved(request, choice, StopCause::kTooManyWaiting, now);
   } else {
@@ -57,8 +57,8 @@
   if (choice.wants_permit == nullptr) {
     return choice;
   }
-  // This node may itself be an issuer: then the permit is there at once. Otherwise the answer is
-  // waited for, and TryAgain says when it is due.
+  // If this node issues permits for the back end, the permit is available immediately. Otherwise
+  // the request waits for the reply; Choice::try_again holds when it is due.
   rates_.Ask(choice.wants_permit->registration.id, now);
   return choice.backend == nullptr ? ChooseOnce(request, now) : choice;
 }
@@ -70,13 +70,13 @@
 }
 
 bool Dispatcher::Impl::Admitted(Request& request, Time now) {
-  // What owners bear differs from owner to owner: by their mean, 0.37 of a kind was refused where
-  // 0.18 had been, and fewer were served in time (docs/design/023).
+  // Keyed requests bypass service-wide admission, as capacity differs between owners: admission by
+  // their mean refused 0.37 instead of 0.18 of a request class and served fewer in time.
   if (!request.admitted && !request.sharded) {
     ServiceState& service = *request.service;
     const Duration target = request.route->target_latency;
     const Duration slack =
-        std::max(target - service.averages.ServiceTime(), target * kLeastSlackShare);
+        std::max(target - service.averages.ServiceTime(), target * kMinSlackShare);
     request.admitted = service.admission.Admit(request.route->priority, slack, now);
     services_.NoteLevel(service, now);
   }
@@ -89,16 +89,16 @@
       choice.obstacle == Obstacle::kOwnerResting || choice.obstacle == Obstacle::kAllResting ||
       ((choice.obstacle == Obstacle::kOwnerLimited || choice.obstacle == Obstacle::kAllLimited) &&
        !rates_.AwaitsReply(choice.about->registration.id, now));
-  if (is_timed && choice.try_again > request.patience_until) {
-    // It is known that waiting here is for nothing.
+  if (is_timed && choice.try_again > request.wait_deadline) {
+    // The request cannot be sent before its wait deadline.
     return false;
   }
-  return choice.may_pass && now < request.patience_until && request.answer_by - now > needed;
+  return choice.may_pass && now < request.wait_deadline && request.answer_by - now > needed;
 }
 
 void Dispatcher::Impl::Wait(Request& request, const Choice& choice, Time now) {
   request.wait_until =
-      std::min(std::max(choice.try_again, now + kLeastWait), request.patience_until);
+      std::min(std::max(choice.try_again, now + kMinRedispatchInterval), request.wait_deadline);
   if (!request.waiting) {
     request.waiting = true;
     request.service->waiting.Add(request.QueueEntry());
@@ -122,8 +122,8 @@
   attempt.service = request.service;
   attempt.fence = choice.fence;
   attempt.started = now;
-  attempt.timely = request.route->target_latency * kTimelyShare;
-  attempt.charged = request.departures > 0;
+  attempt.late_after = request.route->target_latency * kAttemptTimeShare;
+  attempt.charged = request.counted_attempts > 0;
   if (attempt.charged) {
     request.service->budget.Charge(now);
   }
@@ -143,7 +143,7 @@
   send.answer_by = request.answer_by;
   send.cause = request.next_cause;
   send.expected_wait = choice.expected_wait;
-  ++request.departures;
+  ++request.counted_attempts;
   ++request.sends;
   request.in_flight.push_back(send.attempt);
   attempts_.emplace(send.attempt, std::move(attempt));
@@ -167,14 +167,14 @@
   for (const AttemptHandle handle : std::exchange(request.in_flight, {})) {
     Attempt& attempt = attempts_.at(handle);
     if (attempt.sent && !request.repeatable()) {
-      // It runs to its end unheard: breaking it off would leave the work half done.
+      // Let it finish and ignore its answer: aborting it could leave the work half done.
       attempt.request = 0;
       continue;
     }
     attempt.backend->load.OnEnd(attempt.started);
     if (attempt.sent) {
       attempt.backend->load.OnUnanswered(now - attempt.started, now);
-      if (now - attempt.started > attempt.timely) {
+      if (now - attempt.started > attempt.late_after) {
         attempt.backend->owner_limit.OnAnswer(attempt.started, false, now);
       }
     }
--- a/src/core/forwarding/dispatcher_impl.h
+++ b/src/core/forwarding/dispatcher_impl.h
@@ -1,7 +1,7 @@
 // The state behind Dispatcher, and the steps of a request through it.
 //
-// dispatcher.cc takes in what the outside tells, dispatch.cc sends and finishes requests,
-// attempt_events.cc follows attempts, and deadlines.cc keeps the timers.
+// dispatcher.cc handles configuration, state updates and new requests, dispatch.cc sends and
+// finishes requests, attempt_events.cc handles the events of attempts, and deadlines.cc the timers.
 #pragma once
 
 #include <absl/container/btree_set.h>
@@ -32,7 +32,7 @@
   explicit Impl(const DispatcherSettings& settings);
 
   void SetConfiguration(std::shared_ptr<const catalog::Configuration> configuration, Time now);
-  void ChangeBackends(const catalog::BackendChanges& changes, const RegistrationNews& news,
+  void ChangeBackends(const catalog::BackendChanges& changes, const RegistrationUpdate& update,
                       Time now);
   void SetOwnership(std::shared_ptr<const ownership::OwnershipMap> map, Time now);
   void SetMapConfirmed(Time until) { ownership_.SetConfirmed(until); }
@@ -50,7 +50,7 @@
   const catalog::Route* FindRoute(std::string_view host, std::string_view target) const;
 
   RequestHandle Start(const IncomingRequest& incoming, Time now);
-  void OnCallerGone(RequestHandle handle, Time now);
+  void OnCallerDisconnected(RequestHandle handle, Time now);
   bool MaySend(AttemptHandle handle, Time now) const;
   void OnSent(AttemptHandle handle, Time now);
   void OnAttemptAnswer(AttemptHandle handle, const AttemptAnswer& answer, Time now);
@@ -59,24 +59,24 @@
   void OnTick(Time now);
   quarantine::CrashSuspects& suspects() { return suspects_; }
   const allowance::SharedRates& rates() const { return rates_; }
-  bool OnLimitsHeard(const std::vector<allowance::LimitRecord>& records, Time now);
-  bool TakeLimitNews() { return rates_.limits().TakeNews(); }
+  bool OnLimitsReceived(const std::vector<allowance::LimitRecord>& records, Time now);
+  bool TakeLimitsChanged() { return rates_.limits().TakeNews(); }
   std::vector<allowance::PermitQuestion> TakePermitQuestions() { return rates_.TakeQuestions(); }
   allowance::PermitReply OnPermitQuestion(const allowance::PermitQuestion& question, Time now) {
     return rates_.Answer(question, now);
   }
   void OnPermitReply(const allowance::PermitReply& reply, Time now);
-  void ForgetLimits(Time now) { rates_.Forget(now); }
+  void ExpireLimits(Time now) { rates_.Forget(now); }
   const Endpoint* AddressOf(const std::string& backend) const;
 
   std::vector<RequestDecision> TakeDecisions() { return std::exchange(decisions_, {}); }
   Time NextWake() const;
   std::vector<load::ServiceLoad> TakeLoad();
-  std::vector<BackendBelief> TakeBeliefs();
+  std::vector<BackendStateChange> TakeStateChanges();
   bool CanServe(Time now) const;
   double RetriesLeft(Time now);
   uint64_t RequestsWaiting();
-  double LeastAdmissionShare();
+  double MinAdmissionShare();
 
  private:
   // dispatcher.cc
@@ -85,44 +85,45 @@
   bool ServiceCanServe(const std::string& name, Time now) const;
   bool HasUsableOwner(const std::string& service, Time now) const;
 
-  // dispatch.cc: a request that has no attempt in flight is sent, waits, or is answered.
+  // dispatch.cc: sends, queues or answers a request that has no attempt in flight.
   void Dispatch(Request& request, Time now);
   Choice Choose(const Request& request, Time now);
   Choice ChooseOnce(const Request& request, Time now);
-  /// Whether admission lets the request through, for which there is a back end; owners of keys have
-  /// limits of their own.
+  /// Whether admission control accepts the request, once a back end is available. Keyed requests
+  /// are always accepted here, as owners have limits of their own.
   bool Admitted(Request& request, Time now);
   bool MayWait(const Request& request, const Choice& choice, Time now) const;
   void Wait(Request& request, const Choice& choice, Time now);
   void StopWaiting(Request& request);
   void Send(Request& request, const Choice& choice, Time now);
   void FinishUnserved(Request& request, const Choice& choice, StopCause cause, Time now);
-  /// Emits the final decision and forgets the request. `request` is gone afterwards.
+  /// Emits the final decision and deletes the request. `request` is invalid afterwards.
   void Finish(Request& request, Decision decision, Time now);
-  /// Cancels what may be cancelled of the attempts in flight, and forgets the rest.
+  /// Cancels the attempts in flight that may be cancelled, and detaches the others.
   void AbandonAttempts(Request& request, Time now);
   void Forget(Request& request);
-  /// Gives everybody who waits for `service` another look.
+  /// Retries dispatching all requests that wait for `service`.
   void DispatchWaiting(ServiceState& service, Time now);
   void Emit(const Request& request, Decision decision);
 
   // attempt_events.cc
-  /// Takes the attempt out of the books of its back end and its request.
+  /// Removes the attempt and its accounting at its back end and its request.
   Attempt EndAttempt(AttemptHandle handle);
   Request* FindRequest(RequestHandle handle);
-  void LearnFromAnswer(const Attempt& attempt, const AttemptAnswer& answer, Time now);
-  /// Takes in what the back end says that it wants of this node.
-  void LearnWishes(const Attempt& attempt, const AttemptAnswer& answer, Time now);
-  void LearnFromRefusal(const Attempt& attempt, const AttemptAnswer& answer, Time now);
-  void LearnFromFailure(const Attempt& attempt, AttemptFailure failure, Time now);
-  void NoteEjection(const BackendState& backend, const std::string& cause, Duration time);
+  void UpdateFromAnswer(const Attempt& attempt, const AttemptAnswer& answer, Time now);
+  /// Applies the signals in a back end's answer: slow start, back-off, shutdown and rate limit.
+  void ApplyBackendSignals(const Attempt& attempt, const AttemptAnswer& answer, Time now);
+  void UpdateFromRefusal(const Attempt& attempt, const AttemptAnswer& answer, Time now);
+  void UpdateFromFailure(const Attempt& attempt, AttemptFailure failure, Time now);
+  void RecordEjection(const BackendState& backend, const std::string& cause, Duration time);
   void OnRefused(Request& request, const Attempt& attempt, const AttemptAnswer& answer, Time now);
-  void OnUnclear(Request& request, const Attempt& attempt, const AttemptAnswer& answer, Time now);
-  void OnNeverLeft(Request& request, const Attempt& attempt, AttemptFailure failure, Time now);
-  void OnLost(Request& request, const Attempt& attempt, SetbackKind kind, int status, Time now);
-  /// Whether it has been lost with so many back ends that one more is not to be risked.
+  void OnUnclearAnswer(Request& request, const Attempt& attempt, const AttemptAnswer& answer,
+                       Time now);
+  void OnNeverSent(Request& request, const Attempt& attempt, AttemptFailure failure, Time now);
+  void OnLost(Request& request, const Attempt& attempt, FailureKind kind, int status, Time now);
+  /// Whether the request was lost at so many back ends that it must not be sent to another one.
   bool MayCrashAnother(const Request& request, Time now) const;
-  /// The attempt failed: sends the request again, or leaves it to another attempt in flight.
+  /// After a failed attempt: retries the request unless another attempt is in flight.
   void Continue(Request& request, SendCause cause, Time now);
 
   // deadlines.cc
@@ -136,7 +137,7 @@
   const DispatcherSettings settings_;
   std::mt19937_64 random_;
   allowance::RetryLimits retry_limits_;
-  /// Of all nodes together.
+  /// Shared by all nodes.
   double budget_slack_ = 0;
   uint32_t node_count_ = 1;
   RouteIndex routes_;
--- a/tests/unit/forwarding/dispatcher_harness.cc
+++ b/tests/unit/forwarding/dispatcher_harness.cc
@@ -29,8 +29,8 @@
   DispatcherSettings settings;
   settings.zone = std::string("a");
   settings.answer_margin = absl::ZeroDuration();
-  // The tests name times that follow from this.
-  settings.patience_share = 0.25;
+  // The tests use times that depend on this value.
+  settings.max_wait_share = 0.25;
   return settings;
 }
 
--- a/tests/unit/forwarding/overload_test.cc
+++ b/tests/unit/forwarding/overload_test.cc
@@ -1,4 +1,4 @@
-// A service that is asked for more than it bears, through the dispatcher.
+// Admission control of an overloaded service through the dispatcher.
 #include <boost/test/unit_test.hpp>
 #include <deque>
 
@@ -9,44 +9,44 @@
 
 constexpr Duration kGap = absl::Milliseconds(10);
 constexpr Duration kWork = absl::Milliseconds(100);
-/// Of so many requests, ill back ends serve one.
-constexpr uint64_t kIllServeOneOf = 3;
+/// Faulty back ends serve one in this many requests.
+constexpr uint64_t kFaultyServeOneOf = 3;
 
-/// A request each 10 ms, each answered after 100 ms; every answer tells of `waiting` requests
-/// beside two slots.
+/// One request every 10 ms, each answered after 100 ms; every answer reports `waiting` queued
+/// requests and two busy slots.
 struct Flood : DispatcherHarness {
   Flood() { AddBackends("cards", {"c-1", "c-2", "c-3", "c-4"}); }
 
-  /// The requests that were refused at once as the service is overloaded.
-  std::vector<AnswerDecision> Play(int requests, uint32_t waiting) {
+  /// Returns the answers of requests that were refused immediately due to overload.
+  std::vector<AnswerDecision> Run(int requests, uint32_t waiting) {
     std::vector<AnswerDecision> refused;
     for (int i = 0; i < requests; ++i) {
       Start("/cards/1");
       for (const RequestDecision& decided : dispatcher.TakeDecisions()) {
-        Note(decided.decision, refused);
+        HandleDecision(decided.decision, refused);
       }
       Advance(kGap);
-      while (!under_way.empty() && now - under_way.front().since >= kWork) {
-        const SendDecision send = under_way.front().send;
-        under_way.pop_front();
+      while (!in_flight.empty() && now - in_flight.front().since >= kWork) {
+        const SendDecision send = in_flight.front().send;
+        in_flight.pop_front();
         Answer(send, 200, 2, waiting);
       }
     }
     return refused;
   }
 
-  void Note(const Decision& decision, std::vector<AnswerDecision>& refused) {
+  void HandleDecision(const Decision& decision, std::vector<AnswerDecision>& refused) {
     if (const auto* send = std::get_if<SendDecision>(&decision)) {
       Sent(*send);
-      if (++sends % kIllServeOneOf != 0 && ill) {
-        // With free slots and no queue, by its own word.
+      if (++sends % kFaultyServeOneOf != 0 && faulty) {
+        // The back end reports free slots and no queue.
         Refuse(*send, 503, 0, 0);
         for (const RequestDecision& decided : dispatcher.TakeDecisions()) {
-          Note(decided.decision, refused);
+          HandleDecision(decided.decision, refused);
         }
         return;
       }
-      under_way.push_back({*send, now});
+      in_flight.push_back({*send, now});
     } else if (const auto* answer = std::get_if<AnswerDecision>(&decision)) {
       if (answer->reason.find("the service is overloaded") != std::string::npos) {
         refused.push_back(*answer);
@@ -54,21 +54,21 @@
     }
   }
 
-  struct UnderWay {
+  struct InFlight {
     SendDecision send;
     Time since;
   };
-  std::deque<UnderWay> under_way;
+  std::deque<InFlight> in_flight;
   uint64_t sends = 0;
-  /// Back ends turn most requests away though they have room.
-  bool ill = false;
+  /// Back ends reject most requests despite free slots.
+  bool faulty = false;
 };
 
 BOOST_FIXTURE_TEST_SUITE(overload, Flood)
 
-BOOST_AUTO_TEST_CASE(long_queues_turn_some_away_at_once_with_a_time_to_come_back) {
-  Play(100, 0);
-  const std::vector<AnswerDecision> refused = Play(100, 20);
+BOOST_AUTO_TEST_CASE(long_queues_cause_immediate_refusals_with_retry_after) {
+  Run(100, 0);
+  const std::vector<AnswerDecision> refused = Run(100, 20);
   BOOST_TEST(refused.size() > 10U);
   for (const AnswerDecision& answer : refused) {
     BOOST_TEST(answer.status == 503);
@@ -78,22 +78,22 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(short_queues_turn_nobody_away) { BOOST_TEST(Play(300, 1).empty()); }
+BOOST_AUTO_TEST_CASE(short_queues_cause_no_refusals) { BOOST_TEST(Run(300, 1).empty()); }
 
-BOOST_AUTO_TEST_CASE(an_ill_service_whose_queues_are_short_is_let_alone) {
-  Play(100, 0);
-  BOOST_TEST(!Play(100, 20).empty());
-  ill = true;
-  Play(200, 0);
-  BOOST_TEST(Play(200, 0).empty());
+BOOST_AUTO_TEST_CASE(a_faulty_service_with_short_queues_is_not_limited) {
+  Run(100, 0);
+  BOOST_TEST(!Run(100, 20).empty());
+  faulty = true;
+  Run(200, 0);
+  BOOST_TEST(Run(200, 0).empty());
 }
 
-BOOST_AUTO_TEST_CASE(the_level_is_told_when_it_changes) {
-  BOOST_TEST(dispatcher.LeastAdmissionShare() == 1);
-  Play(100, 20);
-  BOOST_TEST(dispatcher.LeastAdmissionShare() < 1);
+BOOST_AUTO_TEST_CASE(a_change_of_the_admission_level_is_reported) {
+  BOOST_TEST(dispatcher.MinAdmissionShare() == 1);
+  Run(100, 20);
+  BOOST_TEST(dispatcher.MinAdmissionShare() < 1);
   std::vector<std::string> events;
-  for (const BackendBelief& belief : dispatcher.TakeBeliefs()) {
+  for (const BackendStateChange& belief : dispatcher.TakeStateChanges()) {
     if (belief.backend == "cards") {
       events.push_back(belief.event);
     }
