--- a/src/core/forwarding/attempt_events.cc
+++ b/src/core/forwarding/attempt_events.cc
@@ -39,7 +39,7 @@
 /// Whether a request that was lost there may have been lost because the back end is full: not when
 /// it told a short time ago that it has room.
 bool MayBeFull(const load::LoadEstimate& load, Time now) {
-  return load.ToldAge(now) > kFreshTold || !HasRoom(load.told());
+  return load.ReportAge(now) > kFreshTold || !HasRoom(load.reported());
 }
 
 /// Whether an answer that comes now is soon enough for the share of its time that an attempt has.
@@ -90,7 +90,7 @@
       by_key ? attempt.backend->UsableAsOwner(now) : attempt.backend->UsableForAny(now);
   // A limit that was named after this attempt was decided on binds it too.
   const bool permitted = attempt.permitted || !rates_.IsLimited(attempt.backend->registration.id);
-  return usable && permitted && !attempt.backend->Rests(now);
+  return usable && permitted && !attempt.backend->InBackoff(now);
 }
 
 void Dispatcher::Impl::OnSent(AttemptHandle handle, Time now) {
@@ -139,11 +139,11 @@
 void Dispatcher::Impl::LearnWishes(const Attempt& attempt, const AttemptAnswer& answer, Time now) {
   BackendState& backend = *attempt.backend;
   if (answer.cold_left.has_value()) {
-    services_.NoteCold(*answer.cold_left, backend, now);
+    services_.RecordCold(*answer.cold_left, backend, now);
   }
   if (answer.rest.has_value()) {
-    const bool rested = backend.Rests(now);
-    services_.NoteRest(*answer.rest, backend, now);
+    const bool rested = backend.InBackoff(now);
+    services_.RecordBackoff(*answer.rest, backend, now);
     if (!rested && HasRoom(answer.load)) {
       attempt.service->load.AddDeclined(backend.registration.id, *answer.rest);
     }
@@ -153,7 +153,7 @@
     return;
   }
   if (answer.leaving) {
-    services_.NoteLeaving(backend, now);
+    services_.RecordLeaving(backend, now);
   }
   rates_.limits().OnAnswer(backend.registration.id, answer.limit, attempt.started, now);
 }
@@ -205,7 +205,7 @@
     // Not asked again before another of its slots may be free; a repeat for one of its keys waits.
     backend.load.OnShed(answer.load, now);
   } else {
-    backend.load.OnTold(answer.load, now);
+    backend.load.OnReportedLoad(answer.load, now);
   }
   if (at_once && !has_room) {
     // An owner with room is ill, and sending it less does not heal it: of the requests for keys of
@@ -232,10 +232,10 @@
   }
   if (request.sharded) {
     request.setback.kind = SetbackKind::kDenied;
-    request.denied = DeniedAssignment{attempt.backend->registration.id, attempt.fence};
-    request.service->load.SetDenied(*request.key);
-    services_.AddBelief(*attempt.backend, "denied",
-                        absl::StrCat("key ", *request.key, ", fence ", attempt.fence));
+    request.denied = RejectedAssignment{attempt.backend->registration.id, attempt.fence};
+    request.service->load.SetNotOwnerKey(*request.key);
+    services_.AddStateChange(*attempt.backend, "denied",
+                             absl::StrCat("key ", *request.key, ", fence ", attempt.fence));
   } else {
     request.failed.push_back(attempt.backend);
     NoteEjection(*attempt.backend, "another instance answers at its address",
@@ -335,8 +335,8 @@
 void Dispatcher::Impl::NoteEjection(const BackendState& backend, const std::string& cause,
                                     Duration time) {
   if (time > absl::ZeroDuration()) {
-    services_.AddBelief(backend, "ejected",
-                        absl::StrCat(cause, ", for ", absl::FormatDuration(time)));
+    services_.AddStateChange(backend, "ejected",
+                             absl::StrCat(cause, ", for ", absl::FormatDuration(time)));
   }
 }
 
--- a/src/core/forwarding/backend_choice.cc
+++ b/src/core/forwarding/backend_choice.cc
@@ -11,7 +11,7 @@
 /// At most this share of the usable back ends, and always one, is ejected for failing requests.
 /// Where more fail, that says more about the way there, or about the requests; and deployments are
 /// made to bear the loss of one zone of three, so two thirds can take over what the rest had.
-constexpr double kMostEjected = 1.0 / 3;
+constexpr double kMaxEjectedShare = 1.0 / 3;
 /// Service times that a failure costs: the request takes its way once more, and often has used up
 /// its time. With 2 in place of 1, back ends that were well again got less (0.05 of the requests
 /// where 0.14 is their share, with 1 it was 0.08) and ill ones hardly less (75 in place of 92 of
@@ -34,7 +34,7 @@
   const BackendStatePtr* full = nullptr;
   const BackendStatePtr* cold = nullptr;
   /// The one whose rest ends first.
-  const BackendStatePtr* resting = nullptr;
+  const BackendStatePtr* in_backoff = nullptr;
   /// One with a limit, of which this node may ask for a permit first.
   const BackendStatePtr* limited = nullptr;
   Time limited_until = absl::InfiniteFuture();
@@ -42,7 +42,8 @@
   const BackendStatePtr* permitted = nullptr;
 };
 
-bool ColdAllows(const BackendState& backend, const allowance::ColdSenders& senders, Time now) {
+bool MaySendWhileCold(const BackendState& backend, const allowance::ColdSenders& senders,
+                      Time now) {
   const catalog::Backend& registration = backend.registration;
   return !registration.BoundedByCold(now) ||
          (now >= backend.next_cold_send && senders.IsSender(registration.id, now));
@@ -69,7 +70,7 @@
   Choice choice;
   // Asked for ahead: the back end's rate is there to be used, and its next answer tells when its
   // limit has ended. A permit that is held would be lost soon.
-  choice.wants_permit = scan.limited == nullptr ? nullptr : *scan.limited;
+  choice.request_permit_for = scan.limited == nullptr ? nullptr : *scan.limited;
   choice.backend = scan.permitted == nullptr ? Draw() : *scan.permitted;
   choice.expected_wait = choice.backend->load.ExpectedWait(context.now);
   return choice;
@@ -80,14 +81,14 @@
   if (!backend->UsableForAny(context.now)) {
     return;
   }
-  if (!ColdAllows(*backend, cold_senders_, context.now)) {
+  if (!MaySendWhileCold(*backend, cold_senders_, context.now)) {
     scan.cold = &backend;
     return;
   }
   // Passed over before all else, so that no way back for ejected ones leads to it.
-  if (backend->Rests(context.now)) {
-    if (scan.resting == nullptr || backend->rest_until < (*scan.resting)->rest_until) {
-      scan.resting = &backend;
+  if (backend->InBackoff(context.now)) {
+    if (scan.in_backoff == nullptr || backend->backoff_until < (*scan.in_backoff)->backoff_until) {
+      scan.in_backoff = &backend;
     }
     return;
   }
@@ -128,7 +129,7 @@
 }
 
 void LeastWaitChoice::ReadmitSuspects(Scan& scan, Time now) {
-  const auto share = static_cast<size_t>(kMostEjected * static_cast<double>(scan.usable));
+  const auto share = static_cast<size_t>(kMaxEjectedShare * static_cast<double>(scan.usable));
   const size_t most = std::max<size_t>(share, 1);
   if (scan.suspects.size() <= most) {
     return;
@@ -168,35 +169,36 @@
 Choice LeastWaitChoice::Explain(const Scan& scan) const {
   Choice choice;
   if (scan.full != nullptr) {
-    choice.obstacle = Obstacle::kAllFull;
-    choice.about = *scan.full;
-    choice.try_again = choice.about->load.full_until();
-    choice.may_pass = true;
+    choice.unavailable_reason = UnavailableReason::kAllFull;
+    choice.blocking_backend = *scan.full;
+    choice.retry_at = choice.blocking_backend->load.full_until();
+    choice.transient = true;
     return choice;
   }
   if (scan.limited != nullptr) {
-    choice.obstacle = Obstacle::kAllLimited;
-    choice.about = *scan.limited;
-    choice.wants_permit = choice.about;
-    choice.limit = rates_.limits().Find(choice.about->registration.id);
-    choice.try_again = scan.limited_until;
-    choice.may_pass = true;
+    choice.unavailable_reason = UnavailableReason::kAllLimited;
+    choice.blocking_backend = *scan.limited;
+    choice.request_permit_for = choice.blocking_backend;
+    choice.limit = rates_.limits().Find(choice.blocking_backend->registration.id);
+    choice.retry_at = scan.limited_until;
+    choice.transient = true;
     return choice;
   }
-  if (scan.resting != nullptr) {
-    choice.obstacle = Obstacle::kAllResting;
-    choice.about = *scan.resting;
-    choice.try_again = choice.about->rest_until;
-    choice.may_pass = true;
+  if (scan.in_backoff != nullptr) {
+    choice.unavailable_reason = UnavailableReason::kAllInBackoff;
+    choice.blocking_backend = *scan.in_backoff;
+    choice.retry_at = choice.blocking_backend->backoff_until;
+    choice.transient = true;
     return choice;
   }
   if (scan.cold != nullptr) {
-    choice.obstacle = Obstacle::kAllCold;
-    choice.about = *scan.cold;
+    choice.unavailable_reason = UnavailableReason::kAllCold;
+    choice.blocking_backend = *scan.cold;
     return choice;
   }
-  choice.obstacle = scan.failed > 0 ? Obstacle::kAllTried : Obstacle::kNoBackend;
-  choice.may_pass = scan.failed == 0;
+  choice.unavailable_reason =
+      scan.failed > 0 ? UnavailableReason::kAllTried : UnavailableReason::kNoBackend;
+  choice.transient = scan.failed == 0;
   return choice;
 }
 
@@ -206,8 +208,8 @@
       choice.expected_wait < context.start_by - context.now) {
     return choice;
   }
-  choice.obstacle = Obstacle::kOverloaded;
-  choice.about = std::exchange(choice.backend, nullptr);
+  choice.unavailable_reason = UnavailableReason::kOverloaded;
+  choice.blocking_backend = std::exchange(choice.backend, nullptr);
   return choice;
 }
 
--- a/src/core/forwarding/backend_choice.h
+++ b/src/core/forwarding/backend_choice.h
@@ -15,7 +15,7 @@
 namespace ladderstream::forwarding {
 
 /// Why no back end can be chosen now.
-enum class Obstacle {
+enum class UnavailableReason {
   kNone,
   /// No back end of the service takes new work.
   kNoBackend,
@@ -23,7 +23,7 @@
   kAllTried,
   kAllFull,
   /// Those that could take it asked this node for rest.
-  kAllResting,
+  kAllInBackoff,
   /// Those that could take it named limits, and this node has no permit for any.
   kAllLimited,
   /// Those that could take it are cold, and it is not this node's turn to send there.
@@ -39,11 +39,11 @@
   /// The keys are on their way to the next owner.
   kMoving,
   /// The owner of the map in force said that it does not own the key.
-  kOwnerDenied,
+  kNotOwner,
   kOwnerUnreachable,
   kOwnerFull,
   /// The owner asked this node for rest.
-  kOwnerResting,
+  kOwnerInBackoff,
   /// The owner named a limit, and this node has no permit.
   kOwnerLimited,
   /// The owner is cold, and it is not this node's turn to send there.
@@ -51,7 +51,7 @@
 };
 
 /// An assignment that a back end disowned.
-struct DeniedAssignment {
+struct RejectedAssignment {
   std::string owner;
   ownership::Fence fence = 0;
 };
@@ -62,7 +62,7 @@
   std::optional<ownership::Key> key;
   /// Back ends that failed this request.
   const std::vector<BackendStatePtr>& failed;
-  const std::optional<DeniedAssignment>& denied;
+  const std::optional<RejectedAssignment>& rejected;
   /// A queue that lasts beyond this is not worth joining.
   Time start_by;
   Time now;
@@ -75,17 +75,17 @@
   ownership::Fence fence = 0;
   /// How long the request would wait there for a slot.
   Duration expected_wait;
-  Obstacle obstacle = Obstacle::kNone;
+  UnavailableReason unavailable_reason = UnavailableReason::kNone;
   /// The back end that the obstacle is about; may be null.
-  BackendStatePtr about;
+  BackendStatePtr blocking_backend;
   /// When another look is worth it, unless something changes before.
-  Time try_again = absl::InfiniteFuture();
+  Time retry_at = absl::InfiniteFuture();
   /// The limit that is the obstacle.
   std::optional<allowance::LimitRecord> limit;
   /// A back end with a limit for which a permit is to be asked; may be null.
-  BackendStatePtr wants_permit;
+  BackendStatePtr request_permit_for;
   /// Whether the obstacle may vanish within a short time.
-  bool may_pass = false;
+  bool transient = false;
 };
 
 class BackendChoice {
@@ -129,7 +129,7 @@
 };
 
 /// Whether this node may send to `backend` now, as far as its being cold goes.
-bool ColdAllows(const BackendState& backend, const allowance::ColdSenders& senders, Time now);
+bool MaySendWhileCold(const BackendState& backend, const allowance::ColdSenders& senders, Time now);
 
 /// Refuses at once what `inner` would send into a queue that lasts too long.
 class OverloadGuard : public BackendChoice {
--- a/src/core/forwarding/dispatch.cc
+++ b/src/core/forwarding/dispatch.cc
@@ -44,7 +44,7 @@
   } else if (choice.backend != nullptr) {
     Send(request, choice, now);
   } else if (!MayWait(request, choice, now)) {
-    FinishUnserved(request, choice, StopCause::kObstacle, now);
+    FinishUnserved(request, choice, StopCause::kNoBackendAvailable, now);
   } else if (!request.waiting && request.service->waiting.size() >= kMaxWaiting) {
     FinishUnserved(request, choice, StopCause::kTooManyWaiting, now);
   } else {
@@ -54,12 +54,12 @@
 
 Choice Dispatcher::Impl::Choose(const Request& request, Time now) {
   Choice choice = ChooseOnce(request, now);
-  if (choice.wants_permit == nullptr) {
+  if (choice.request_permit_for == nullptr) {
     return choice;
   }
   // This node may itself be an issuer: then the permit is there at once. Otherwise the answer is
   // waited for, and TryAgain says when it is due.
-  rates_.Ask(choice.wants_permit->registration.id, now);
+  rates_.Ask(choice.request_permit_for->registration.id, now);
   return choice.backend == nullptr ? ChooseOnce(request, now) : choice;
 }
 
@@ -78,27 +78,28 @@
     const Duration slack =
         std::max(target - service.averages.ServiceTime(), target * kLeastSlackShare);
     request.admitted = service.admission.Admit(request.route->priority, slack, now);
-    services_.NoteLevel(service, now);
+    services_.RecordAdmissionLevel(service, now);
   }
   return request.admitted || request.sharded;
 }
 
 bool Dispatcher::Impl::MayWait(const Request& request, const Choice& choice, Time now) const {
   const Duration needed = request.service->averages.ServiceTime();
-  const bool is_timed =
-      choice.obstacle == Obstacle::kOwnerResting || choice.obstacle == Obstacle::kAllResting ||
-      ((choice.obstacle == Obstacle::kOwnerLimited || choice.obstacle == Obstacle::kAllLimited) &&
-       !rates_.AwaitsReply(choice.about->registration.id, now));
-  if (is_timed && choice.try_again > request.patience_until) {
+  const bool is_timed = choice.unavailable_reason == UnavailableReason::kOwnerInBackoff ||
+                        choice.unavailable_reason == UnavailableReason::kAllInBackoff ||
+                        ((choice.unavailable_reason == UnavailableReason::kOwnerLimited ||
+                          choice.unavailable_reason == UnavailableReason::kAllLimited) &&
+                         !rates_.AwaitsReply(choice.blocking_backend->registration.id, now));
+  if (is_timed && choice.retry_at > request.patience_until) {
     // It is known that waiting here is for nothing.
     return false;
   }
-  return choice.may_pass && now < request.patience_until && request.answer_by - now > needed;
+  return choice.transient && now < request.patience_until && request.answer_by - now > needed;
 }
 
 void Dispatcher::Impl::Wait(Request& request, const Choice& choice, Time now) {
   request.wait_until =
-      std::min(std::max(choice.try_again, now + kLeastWait), request.patience_until);
+      std::min(std::max(choice.retry_at, now + kLeastWait), request.patience_until);
   if (!request.waiting) {
     request.waiting = true;
     request.service->waiting.Add(request.QueueEntry());
--- a/src/core/forwarding/final_answer.cc
+++ b/src/core/forwarding/final_answer.cc
@@ -22,43 +22,43 @@
 /// Each rank below the highest is told to stay away for longer by this share.
 constexpr double kLaterPerRank = 0.5;
 
-const char* NameOfObstacle(Obstacle obstacle) {
-  switch (obstacle) {
-    case Obstacle::kNone:
+const char* UnavailableReasonText(UnavailableReason unavailable_reason) {
+  switch (unavailable_reason) {
+    case UnavailableReason::kNone:
       return "none";
-    case Obstacle::kNoBackend:
+    case UnavailableReason::kNoBackend:
       return "no back end takes new work";
-    case Obstacle::kAllTried:
+    case UnavailableReason::kAllTried:
       return "every back end failed it";
-    case Obstacle::kAllFull:
+    case UnavailableReason::kAllFull:
       return "all back ends are full";
-    case Obstacle::kAllResting:
+    case UnavailableReason::kAllInBackoff:
       return "all back ends asked for rest";
-    case Obstacle::kAllLimited:
+    case UnavailableReason::kAllLimited:
       return "the limits of the back ends left are used up";
-    case Obstacle::kAllCold:
+    case UnavailableReason::kAllCold:
       return "the back ends left are cold";
-    case Obstacle::kOverloaded:
+    case UnavailableReason::kOverloaded:
       return "the queue is longer than the time left";
-    case Obstacle::kNoMap:
+    case UnavailableReason::kNoMap:
       return "no ownership map is confirmed";
-    case Obstacle::kNoOwner:
+    case UnavailableReason::kNoOwner:
       return "the key has no known owner";
-    case Obstacle::kOwnerLeaving:
+    case UnavailableReason::kOwnerLeaving:
       return "the owner is draining or gone";
-    case Obstacle::kMoving:
+    case UnavailableReason::kMoving:
       return "the key is moving";
-    case Obstacle::kOwnerDenied:
+    case UnavailableReason::kNotOwner:
       return "the owner disowned the key";
-    case Obstacle::kOwnerUnreachable:
+    case UnavailableReason::kOwnerUnreachable:
       return "the owner is unreachable";
-    case Obstacle::kOwnerFull:
+    case UnavailableReason::kOwnerFull:
       return "the owner is full";
-    case Obstacle::kOwnerResting:
+    case UnavailableReason::kOwnerInBackoff:
       return "the owner asked for rest";
-    case Obstacle::kOwnerLimited:
+    case UnavailableReason::kOwnerLimited:
       return "the owner's limit is used up";
-    case Obstacle::kOwnerCold:
+    case UnavailableReason::kOwnerCold:
       return "the owner is cold";
   }
   return "unknown";
@@ -84,25 +84,25 @@
   return "unknown";
 }
 
-ResultCode CodeOfObstacle(Obstacle obstacle) {
-  switch (obstacle) {
-    case Obstacle::kNoMap:
-    case Obstacle::kNoOwner:
-    case Obstacle::kOwnerLeaving:
+ResultCode CodeOfUnavailableReason(UnavailableReason unavailable_reason) {
+  switch (unavailable_reason) {
+    case UnavailableReason::kNoMap:
+    case UnavailableReason::kNoOwner:
+    case UnavailableReason::kOwnerLeaving:
       return ResultCode::kNoOwner;
-    case Obstacle::kMoving:
-    case Obstacle::kOwnerDenied:
+    case UnavailableReason::kMoving:
+    case UnavailableReason::kNotOwner:
       return ResultCode::kOwnerChanged;
-    case Obstacle::kAllLimited:
-    case Obstacle::kOwnerLimited:
+    case UnavailableReason::kAllLimited:
+    case UnavailableReason::kOwnerLimited:
       return ResultCode::kBackendLimited;
-    case Obstacle::kAllFull:
-    case Obstacle::kAllResting:
-    case Obstacle::kAllCold:
-    case Obstacle::kOverloaded:
-    case Obstacle::kOwnerFull:
-    case Obstacle::kOwnerResting:
-    case Obstacle::kOwnerCold:
+    case UnavailableReason::kAllFull:
+    case UnavailableReason::kAllInBackoff:
+    case UnavailableReason::kAllCold:
+    case UnavailableReason::kOverloaded:
+    case UnavailableReason::kOwnerFull:
+    case UnavailableReason::kOwnerInBackoff:
+    case UnavailableReason::kOwnerCold:
       return ResultCode::kOverloaded;
     default:
       return ResultCode::kBackendUnreachable;
@@ -122,7 +122,7 @@
 
 /// How long until a slot is expected to be free there, and it may be asked for it.
 Duration WaitAt(const BackendState& backend, Time now) {
-  return std::max(backend.load.ExpectedWait(now), backend.rest_until - now);
+  return std::max(backend.load.ExpectedWait(now), backend.backoff_until - now);
 }
 
 /// The shortest wait at any back end of the service.
@@ -168,7 +168,7 @@
 /// Of a request that a used-up limit turned away: when permits are there again. All nodes turn away
 /// what is beyond it, so that callers come back spread over as much again.
 Duration RetryAfterLimit(const Choice& choice, std::mt19937_64& random, Time now) {
-  return std::clamp(choice.try_again - now, kLeastRetryAfter, kMostRetryAfter) * (1 + Draw(random));
+  return std::clamp(choice.retry_at - now, kLeastRetryAfter, kMostRetryAfter) * (1 + Draw(random));
 }
 
 /// `owner`: it is asked for keys that it owns, so this node's limit there counts.
@@ -178,15 +178,16 @@
   const std::string limited = owner && limit != admission::OwnerLimit::kUnlimited
                                   ? absl::StrFormat(", limit %.2f", limit)
                                   : "";
-  if (load.ToldAge(now) == absl::InfiniteDuration()) {
+  if (load.ReportAge(now) == absl::InfiniteDuration()) {
     return absl::StrCat(backend.registration.id, ", load untold, ", load.in_flight(), " from here",
                         limited);
   }
-  const double slowdown = load.told().slowdown;
+  const double slowdown = load.reported().slowdown;
   const std::string slowed = slowdown > 0 ? absl::StrFormat(" slowdown %.2f", slowdown) : "";
   return absl::StrFormat("%s, told running %u waiting %u%s %.0f ms ago, %u from here%s",
-                         backend.registration.id, load.told().running, load.told().waiting, slowed,
-                         absl::ToDoubleMilliseconds(load.ToldAge(now)), load.in_flight(), limited);
+                         backend.registration.id, load.reported().running, load.reported().waiting,
+                         slowed, absl::ToDoubleMilliseconds(load.ReportAge(now)), load.in_flight(),
+                         limited);
 }
 
 std::string DescribeSetback(const Request& request) {
@@ -205,8 +206,8 @@
 
 std::string DescribeCause(const Request& request, const Choice& choice, StopCause cause) {
   switch (cause) {
-    case StopCause::kObstacle:
-      return std::string(NameOfObstacle(choice.obstacle));
+    case StopCause::kNoBackendAvailable:
+      return std::string(UnavailableReasonText(choice.unavailable_reason));
     case StopCause::kNotRepeatable:
       return "it must not run twice";
     case StopCause::kAttemptsSpent:
@@ -220,7 +221,8 @@
     case StopCause::kMayCrashAnother:
       return "it may crash one more back end";
     case StopCause::kTooManyWaiting:
-      return absl::StrCat(NameOfObstacle(choice.obstacle), ", and too many wait already");
+      return absl::StrCat(UnavailableReasonText(choice.unavailable_reason),
+                          ", and too many wait already");
   }
   return "unknown";
 }
@@ -229,8 +231,8 @@
                      const ownership::OwnershipMap* map, Time now) {
   std::string text =
       absl::StrCat(request.service->name, ": ", DescribeCause(request, choice, cause));
-  if (choice.about != nullptr) {
-    absl::StrAppend(&text, " (", DescribeLoad(*choice.about, request.sharded, now));
+  if (choice.blocking_backend != nullptr) {
+    absl::StrAppend(&text, " (", DescribeLoad(*choice.blocking_backend, request.sharded, now));
     if (choice.limit.has_value()) {
       absl::StrAppendFormat(&text, ", %.3g requests a second from all nodes, told %.0f ms ago",
                             choice.limit->rate.value_or(0),
@@ -270,7 +272,8 @@
     return MakeAnswer(ResultCode::kConnectionLost, absl::ZeroDuration(), std::move(reason));
   }
   const bool by_setback = request.setback.kind != SetbackKind::kNone &&
-                          (cause != StopCause::kObstacle || choice.obstacle == Obstacle::kAllTried);
+                          (cause != StopCause::kNoBackendAvailable ||
+                           choice.unavailable_reason == UnavailableReason::kAllTried);
   if (cause == StopCause::kNotAdmitted) {
     return MakeAnswer(ResultCode::kOverloaded, RetryAfterShedding(request, random, now),
                       std::move(reason));
@@ -279,13 +282,13 @@
     return MakeAnswer(ResultCode::kBackendLimited, RetryAfterLimit(choice, random, now),
                       std::move(reason));
   }
-  const ResultCode code =
-      by_setback ? CodeOfSetback(request.setback.kind) : CodeOfObstacle(choice.obstacle);
+  const ResultCode code = by_setback ? CodeOfSetback(request.setback.kind)
+                                     : CodeOfUnavailableReason(choice.unavailable_reason);
   const Duration retry_after =
-      choice.obstacle == Obstacle::kNoMap
+      choice.unavailable_reason == UnavailableReason::kNoMap
           ? kNoMapRetryAfter
-          : RetryAfter(request, code, by_setback ? request.setback.backend : choice.about, random,
-                       now);
+          : RetryAfter(request, code,
+                       by_setback ? request.setback.backend : choice.blocking_backend, random, now);
   return MakeAnswer(code, retry_after, std::move(reason));
 }
 
--- a/src/core/forwarding/final_answer.h
+++ b/src/core/forwarding/final_answer.h
@@ -13,7 +13,7 @@
 /// Why a request cannot be sent (again) now.
 enum class StopCause {
   /// The choice's obstacle.
-  kObstacle,
+  kNoBackendAvailable,
   /// It may have run, and must not run twice.
   kNotRepeatable,
   kAttemptsSpent,
--- a/src/core/forwarding/owner_choice.cc
+++ b/src/core/forwarding/owner_choice.cc
@@ -6,13 +6,14 @@
 namespace ladderstream::forwarding {
 namespace {
 
-Choice Blocked(Obstacle obstacle, BackendStatePtr about = nullptr,
-               Time try_again = absl::InfiniteFuture()) {
+Choice Blocked(UnavailableReason unavailable_reason, BackendStatePtr blocking_backend = nullptr,
+               Time retry_at = absl::InfiniteFuture()) {
   Choice choice;
-  choice.obstacle = obstacle;
-  choice.about = std::move(about);
-  choice.try_again = try_again;
-  choice.may_pass = obstacle != Obstacle::kNoMap && obstacle != Obstacle::kOwnerCold;
+  choice.unavailable_reason = unavailable_reason;
+  choice.blocking_backend = std::move(blocking_backend);
+  choice.retry_at = retry_at;
+  choice.transient = unavailable_reason != UnavailableReason::kNoMap &&
+                     unavailable_reason != UnavailableReason::kOwnerCold;
   return choice;
 }
 
@@ -21,9 +22,9 @@
                      [key](const ownership::KeyRange& range) { return range.Contains(key); });
 }
 
-bool IsDenied(const std::optional<DeniedAssignment>& denied,
-              const ownership::Assignment& assignment) {
-  return denied && denied->owner == assignment.owner && denied->fence == assignment.fence;
+bool IsRejected(const std::optional<RejectedAssignment>& rejected,
+                const ownership::Assignment& assignment) {
+  return rejected && rejected->owner == assignment.owner && rejected->fence == assignment.fence;
 }
 
 }  // namespace
@@ -45,19 +46,19 @@
 
 Choice OwnerChoice::Choose(const ChoiceContext& context) {
   if (!ownership_.Confirmed(context.now)) {
-    return Blocked(Obstacle::kNoMap);
+    return Blocked(UnavailableReason::kNoMap);
   }
   const ownership::ServiceOwnership* service = ownership_.Find(context.service.name);
   if (service == nullptr) {
-    return Blocked(Obstacle::kNoOwner);
+    return Blocked(UnavailableReason::kNoOwner);
   }
   const ownership::Key key = context.key.value_or(0);
   if (IsMoving(*service, key)) {
-    return Blocked(Obstacle::kMoving);
+    return Blocked(UnavailableReason::kMoving);
   }
   const ownership::Assignment* assignment = ownership::FindAssignment(service->assignments, key);
   if (assignment == nullptr || assignment->owner.empty()) {
-    return Blocked(Obstacle::kNoOwner);
+    return Blocked(UnavailableReason::kNoOwner);
   }
   return ChooseOwner(*assignment, context);
 }
@@ -66,34 +67,34 @@
                                 const ChoiceContext& context) const {
   const BackendStatePtr owner = services_.FindBackend(assignment.owner);
   if (owner == nullptr || owner->registration.service != context.service.name) {
-    return Blocked(Obstacle::kNoOwner);
+    return Blocked(UnavailableReason::kNoOwner);
   }
   if (!owner->UsableAsOwner(context.now)) {
-    return Blocked(Obstacle::kOwnerLeaving, owner);
+    return Blocked(UnavailableReason::kOwnerLeaving, owner);
   }
-  if (!ColdAllows(*owner, cold_senders_, context.now)) {
-    return Blocked(Obstacle::kOwnerCold, owner);
+  if (!MaySendWhileCold(*owner, cold_senders_, context.now)) {
+    return Blocked(UnavailableReason::kOwnerCold, owner);
   }
-  if (IsDenied(context.denied, assignment)) {
-    return Blocked(Obstacle::kOwnerDenied, owner);
+  if (IsRejected(context.rejected, assignment)) {
+    return Blocked(UnavailableReason::kNotOwner, owner);
   }
-  if (owner->Rests(context.now)) {
-    return Blocked(Obstacle::kOwnerResting, owner, owner->rest_until);
+  if (owner->InBackoff(context.now)) {
+    return Blocked(UnavailableReason::kOwnerInBackoff, owner, owner->backoff_until);
   }
   const Time unreachable_until = owner->outlier.owner_unreachable_until();
   if (context.now < unreachable_until) {
-    return Blocked(Obstacle::kOwnerUnreachable, owner, unreachable_until);
+    return Blocked(UnavailableReason::kOwnerUnreachable, owner, unreachable_until);
   }
   if (owner->load.Full(context.now)) {
-    return Blocked(Obstacle::kOwnerFull, owner, owner->load.full_until());
+    return Blocked(UnavailableReason::kOwnerFull, owner, owner->load.full_until());
   }
   if (limit_owners_ && !owner->owner_limit.Allows(owner->load.in_flight(), context.now)) {
-    return Blocked(Obstacle::kOwnerFull, owner, owner->owner_limit.next_send());
+    return Blocked(UnavailableReason::kOwnerFull, owner, owner->owner_limit.next_send());
   }
   if (!rates_.Allows(owner->registration.id, context.now)) {
-    Choice choice = Blocked(Obstacle::kOwnerLimited, owner,
+    Choice choice = Blocked(UnavailableReason::kOwnerLimited, owner,
                             rates_.TryAgain(owner->registration.id, context.now));
-    choice.wants_permit = owner;
+    choice.request_permit_for = owner;
     choice.limit = rates_.limits().Find(owner->registration.id);
     return choice;
   }
--- a/src/core/forwarding/request_state.h
+++ b/src/core/forwarding/request_state.h
@@ -49,7 +49,7 @@
   /// Different back ends whose connection ended while it was at work there.
   std::vector<BackendStatePtr> lost_with;
   std::optional<quarantine::Fingerprint> fingerprint;
-  std::optional<DeniedAssignment> denied;
+  std::optional<RejectedAssignment> denied;
   Setback setback;
   SendCause next_cause = SendCause::kFirst;
 
--- a/src/core/forwarding/service_table.cc
+++ b/src/core/forwarding/service_table.cc
@@ -12,27 +12,27 @@
 namespace {
 
 /// A back end that disappeared is forgotten after this.
-constexpr Duration kForgetAfter = absl::Seconds(30);
+constexpr Duration kRetention = absl::Seconds(30);
 /// One that had said itself that it leaves is remembered for longer, since its registration may
 /// come back after a long outage of the store and says nothing of it.
-constexpr Duration kRememberLeaving = absl::Minutes(10);
+constexpr Duration kLeavingRetention = absl::Minutes(10);
 /// A request reaches the back end chosen for it within this: the way between zones, and room for a
 /// packet that is sent again, or for a loop that is behind. A connection that is not up when the
 /// back end may no longer be used carries nothing.
-constexpr Duration kWayReserve = absl::Milliseconds(200);
+constexpr Duration kTransitReserve = absl::Milliseconds(200);
 /// An outage of the store lets nearly all registrations lapse together; a release or a scale-in
 /// takes a few at a time.
-constexpr double kLapsedShare = 1.0 / 3;
+constexpr double kMassExpiryShare = 1.0 / 3;
 /// No back end is left alone for longer by its own word, so that a wrong one (seconds that were
 /// meant as milliseconds, say) does not end its use for good.
-constexpr Duration kLongestRest = absl::Hours(1);
+constexpr Duration kMaxBackoff = absl::Hours(1);
 /// The level of admission is told no more often than this for a service.
-constexpr Duration kLevelInterval = absl::Seconds(1);
+constexpr Duration kLevelReportInterval = absl::Seconds(1);
 /// More beliefs than this are not kept until the next TakeBeliefs.
-constexpr size_t kMaxBeliefs = 1000;
+constexpr size_t kMaxStateChanges = 1000;
 
 /// Fewer than this are put in their places one by one; more are merged.
-constexpr size_t kInsertedSingly = 16;
+constexpr size_t kMaxSingleInserts = 16;
 
 const char* NameOfState(const catalog::Backend& backend) {
   if (backend.draining) {
@@ -64,7 +64,7 @@
                                   const RegistrationNews& news, Time now) {
   const size_t registered_before = registered_count_;
   std::vector<BackendStatePtr> added;
-  looked_at_ += changes.set.size() + changes.gone.size();
+  registrations_examined_ += changes.set.size() + changes.gone.size();
   for (const catalog::Backend& backend : changes.set) {
     const auto known = backends_.find(backend.id);
     if (known == backends_.end()) {
@@ -78,18 +78,19 @@
     }
     Update(backend, news, *state, now);
   }
-  const auto gone_count = static_cast<double>(changes.gone.size());
-  const bool may_have_lapsed =
-      news.store_troubled && gone_count >= kLapsedShare * static_cast<double>(registered_before);
+  const auto deregistered_count = static_cast<double>(changes.gone.size());
+  const bool may_have_expired =
+      news.store_troubled &&
+      deregistered_count >= kMassExpiryShare * static_cast<double>(registered_before);
   for (const std::string& id : changes.gone) {
     const auto known = backends_.find(id);
     if (known != backends_.end() && known->second->registered) {
-      MarkGone(news, may_have_lapsed, *known->second, now);
-      gone_.emplace(ForgetDue(*known->second), known->second);
+      MarkDeregistered(news, may_have_expired, *known->second, now);
+      deregistered_.emplace(RetainedUntil(*known->second), known->second);
     }
   }
   List(added);
-  ForgetGone(now);
+  RemoveExpired(now);
 }
 
 BackendStatePtr ServiceTable::Register(const catalog::Backend& backend) {
@@ -100,25 +101,25 @@
     state->usable_until = absl::InfinitePast();
     state->owner_usable_until = absl::InfinitePast();
   }
-  AddBelief(*state, "registered",
-            absl::StrCat(backend.service, " at ", FormatEndpoint(backend.address), ", ",
-                         NameOfState(backend)));
-  EndEarlier(backend);
+  AddStateChange(*state, "registered",
+                 absl::StrCat(backend.service, " at ", FormatEndpoint(backend.address), ", ",
+                              NameOfState(backend)));
+  EndEarlierIncarnations(backend);
   incarnations_[std::string(catalog::InstanceOf(backend.id))].push_back(state);
   backends_.emplace(backend.id, state);
   ++registered_count_;
   return state;
 }
 
-void ServiceTable::EndEarlier(const catalog::Backend& backend) {
+void ServiceTable::EndEarlierIncarnations(const catalog::Backend& backend) {
   const auto known = incarnations_.find(std::string(catalog::InstanceOf(backend.id)));
   if (known == incarnations_.end()) {
     return;
   }
-  looked_at_ += known->second.size();
+  registrations_examined_ += known->second.size();
   for (const BackendStatePtr& earlier : known->second) {
     StopNewWork(absl::InfinitePast(), absl::InfinitePast(), *earlier);
-    AddBelief(*earlier, "ended", absl::StrCat(backend.id, " has started in its place"));
+    AddStateChange(*earlier, "ended", absl::StrCat(backend.id, " has started in its place"));
   }
 }
 
@@ -126,11 +127,11 @@
                           BackendState& state, Time now) {
   catalog::Backend previous = std::exchange(state.registration, backend);
   // What it said itself is newer than what its registration says through the store.
-  const Time cold_until = std::max(backend.cold_until, state.said_cold_until);
+  const Time cold_until = std::max(backend.cold_until, state.reported_cold_until);
   state.registration.cold_until = cold_until;
   state.load.SetColdUntil(cold_until);
   if (state.registration.BoundedByCold(now) && !previous.BoundedByCold(now)) {
-    AddBelief(state, "cold", absl::StrCat("for ", absl::FormatDuration(cold_until - now)));
+    AddStateChange(state, "cold", absl::StrCat("for ", absl::FormatDuration(cold_until - now)));
   }
   previous.cold_left = backend.cold_left;
   previous.cold_until = backend.cold_until;
@@ -140,80 +141,82 @@
   const bool was_serving = state.registered && !previous.Leaves();
   registered_count_ += state.registered ? 0 : 1;
   state.registered = true;
-  state.gone_at = absl::InfiniteFuture();
+  state.deregistered_at = absl::InfiniteFuture();
   state.load.SetSlots(backend.slots);
   state.outlier.Reset();
   if (!backend.Leaves()) {
     // A registration that is late, or back after an outage of the store, takes back nothing that
     // the back end itself has said.
-    if (!state.said_leaving) {
+    if (!state.reported_leaving) {
       state.usable_until = absl::InfiniteFuture();
       state.owner_usable_until = absl::InfiniteFuture();
     }
-    AddBelief(state, was_serving ? "changed" : "returned", FormatEndpoint(backend.address));
+    AddStateChange(state, was_serving ? "changed" : "returned", FormatEndpoint(backend.address));
     return;
   }
   // What is allowed from hearing on would add up with how late that was.
   if (backend.draining) {
-    const Time last = news.changed_after + settings_.drain_time - kWayReserve;
+    const Time last = news.changed_after + settings_.drain_time - kTransitReserve;
     StopNewWork(std::min(now + settings_.drain_grace, last),
                 std::min(now + settings_.drain_serving, last), state);
-    AddBelief(state, "draining", absl::StrCat("its registration says so", AgeOf(news, now)));
+    AddStateChange(state, "draining", absl::StrCat("its registration says so", AgeOf(news, now)));
   } else {
-    const Time last = news.changed_after + settings_.evacuation_time - kWayReserve;
+    const Time last = news.changed_after + settings_.evacuation_time - kTransitReserve;
     StopNewWork(now, std::min(now + settings_.evacuation_serving, last), state);
-    AddBelief(state, "evacuated", absl::StrCat(backend.zone, AgeOf(news, now)));
+    AddStateChange(state, "evacuated", absl::StrCat(backend.zone, AgeOf(news, now)));
   }
 }
 
-void ServiceTable::NoteCold(Duration time_left, BackendState& state, Time now) {
+void ServiceTable::RecordCold(Duration time_left, BackendState& state, Time now) {
   const Time until = now + time_left;
-  state.said_cold_until = std::max(state.said_cold_until, until);
+  state.reported_cold_until = std::max(state.reported_cold_until, until);
   if (until <= state.registration.cold_until) {
     return;
   }
   state.registration.cold_until = until;
   state.load.SetColdUntil(until);
-  AddBelief(state, "cold", absl::StrCat("for ", absl::FormatDuration(time_left), ", as it says"));
+  AddStateChange(state, "cold",
+                 absl::StrCat("for ", absl::FormatDuration(time_left), ", as it says"));
 }
 
-void ServiceTable::NoteLeaving(BackendState& state, Time now) {
-  if (std::exchange(state.said_leaving, true)) {
+void ServiceTable::RecordLeaving(BackendState& state, Time now) {
+  if (std::exchange(state.reported_leaving, true)) {
     return;
   }
-  const Time last = now + settings_.drain_time - kWayReserve;
+  const Time last = now + settings_.drain_time - kTransitReserve;
   StopNewWork(std::min(now + settings_.drain_grace, last),
               std::min(now + settings_.drain_serving, last), state);
-  AddBelief(state, "draining", "it says so with its answers");
+  AddStateChange(state, "draining", "it says so with its answers");
 }
 
-void ServiceTable::NoteRest(Duration time, BackendState& state, Time now) {
-  const Time until = now + std::min(time, kLongestRest);
-  if (until <= state.rest_until) {
+void ServiceTable::RecordBackoff(Duration time, BackendState& state, Time now) {
+  const Time until = now + std::min(time, kMaxBackoff);
+  if (until <= state.backoff_until) {
     return;
   }
   // Answers to requests that were under way together ask for the same rest: told once.
-  if (!state.Rests(now)) {
-    AddBelief(state, "resting",
-              absl::StrCat("asked for ", absl::FormatDuration(time),
-                           time > kLongestRest ? ", which is cut" : "", ", at ",
-                           state.load.told().running, " running and ", state.load.told().waiting,
-                           " waiting of ", state.load.slots(), " slots"));
+  if (!state.InBackoff(now)) {
+    AddStateChange(
+        state, "resting",
+        absl::StrCat("asked for ", absl::FormatDuration(time),
+                     time > kMaxBackoff ? ", which is cut" : "", ", at ",
+                     state.load.reported().running, " running and ", state.load.reported().waiting,
+                     " waiting of ", state.load.slots(), " slots"));
   }
-  state.rest_until = until;
+  state.backoff_until = until;
 }
 
-void ServiceTable::MarkGone(const RegistrationNews& news, bool may_have_lapsed, BackendState& state,
-                            Time now) {
+void ServiceTable::MarkDeregistered(const RegistrationNews& news, bool may_have_expired,
+                                    BackendState& state, Time now) {
   state.registered = false;
   --registered_count_;
-  state.gone_at = now;
+  state.deregistered_at = now;
   const Duration grace = news.store_troubled ? settings_.lapse_grace : settings_.drain_grace;
-  const Time last = may_have_lapsed ? absl::InfiniteFuture()
-                                    : news.changed_after + settings_.drain_time - kWayReserve;
+  const Time last = may_have_expired ? absl::InfiniteFuture()
+                                     : news.changed_after + settings_.drain_time - kTransitReserve;
   StopNewWork(std::min(now + grace, last),
               std::min(now + std::max(settings_.drain_serving, grace), last), state);
-  AddBelief(
+  AddStateChange(
       state, "gone",
       absl::StrCat("its registration disappeared",
                    news.store_troubled ? " while the store was troubled" : "", AgeOf(news, now)));
@@ -227,7 +230,7 @@
   for (auto& [name, fresh] : by_service) {
     std::vector<BackendStatePtr>& listed = Service(name).backends;
     std::sort(fresh.begin(), fresh.end(), ById);
-    if (fresh.size() <= kInsertedSingly) {
+    if (fresh.size() <= kMaxSingleInserts) {
       for (BackendStatePtr& state : fresh) {
         listed.insert(std::upper_bound(listed.begin(), listed.end(), state, ById), state);
       }
@@ -239,24 +242,24 @@
   }
 }
 
-Time ServiceTable::ForgetDue(const BackendState& state) {
-  const Duration remembered = state.said_leaving ? kRememberLeaving : kForgetAfter;
-  return std::max(state.gone_at + remembered, state.rest_until);
+Time ServiceTable::RetainedUntil(const BackendState& state) {
+  const Duration remembered = state.reported_leaving ? kLeavingRetention : kRetention;
+  return std::max(state.deregistered_at + remembered, state.backoff_until);
 }
 
-void ServiceTable::ForgetGone(Time now) {
-  while (!gone_.empty() && gone_.begin()->first < now) {
-    const BackendStatePtr state = gone_.begin()->second;
-    gone_.erase(gone_.begin());
-    ++looked_at_;
+void ServiceTable::RemoveExpired(Time now) {
+  while (!deregistered_.empty() && deregistered_.begin()->first < now) {
+    const BackendStatePtr state = deregistered_.begin()->second;
+    deregistered_.erase(deregistered_.begin());
+    ++registrations_examined_;
     if (state->registered) {
       continue;
     }
-    const Time due = ForgetDue(*state);
+    const Time due = RetainedUntil(*state);
     if (due >= now) {
-      gone_.emplace(due, state);
+      deregistered_.emplace(due, state);
     } else if (FindBackend(state->registration.id) == state) {
-      Forget(state);
+      Remove(state);
     }
   }
 }
@@ -269,7 +272,7 @@
   }
 }
 
-void ServiceTable::Forget(const BackendStatePtr& state) {
+void ServiceTable::Remove(const BackendStatePtr& state) {
   Unlist(state);
   const std::string id = state->registration.id;
   const auto known = incarnations_.find(std::string(catalog::InstanceOf(id)));
@@ -310,16 +313,16 @@
   return services;
 }
 
-std::vector<BackendBelief> ServiceTable::TakeBeliefs() { return std::exchange(beliefs_, {}); }
+std::vector<BackendBelief> ServiceTable::TakeBeliefs() { return std::exchange(state_changes_, {}); }
 
-void ServiceTable::NoteLevel(ServiceState& service, Time now) {
+void ServiceTable::RecordAdmissionLevel(ServiceState& service, Time now) {
   const uint32_t level = service.admission.level();
-  if (level == service.told_level || now - service.told_level_at < kLevelInterval ||
-      beliefs_.size() >= kMaxBeliefs) {
+  if (level == service.reported_level || now - service.level_reported_at < kLevelReportInterval ||
+      state_changes_.size() >= kMaxStateChanges) {
     return;
   }
-  service.told_level = level;
-  service.told_level_at = now;
+  service.reported_level = level;
+  service.level_reported_at = now;
   const bool limited = level != admission::ServiceAdmission::kNoLevel;
   std::string detail = absl::StrFormat("queues last %.0f ms",
                                        absl::ToDoubleMilliseconds(service.admission.Delay(now)));
@@ -327,12 +330,13 @@
     absl::StrAppendFormat(&detail, ", %.2f is let through, rank %u gets %.2f",
                           service.admission.share(), level, service.admission.ShareOf(level));
   }
-  beliefs_.push_back({service.name, limited ? "limited" : "unlimited", std::move(detail)});
+  state_changes_.push_back({service.name, limited ? "limited" : "unlimited", std::move(detail)});
 }
 
-void ServiceTable::AddBelief(const BackendState& backend, std::string event, std::string detail) {
-  if (beliefs_.size() < kMaxBeliefs) {
-    beliefs_.push_back({backend.registration.id, std::move(event), std::move(detail)});
+void ServiceTable::AddStateChange(const BackendState& backend, std::string event,
+                                  std::string detail) {
+  if (state_changes_.size() < kMaxStateChanges) {
+    state_changes_.push_back({backend.registration.id, std::move(event), std::move(detail)});
   }
 }
 
--- a/src/core/forwarding/service_table.h
+++ b/src/core/forwarding/service_table.h
@@ -28,8 +28,8 @@
   admission::WaitQueue waiting;
   admission::ServiceAdmission admission;
   /// What was last told of its level, and when.
-  uint32_t told_level = admission::ServiceAdmission::kNoLevel;
-  Time told_level_at = absl::InfinitePast();
+  uint32_t reported_level = admission::ServiceAdmission::kNoLevel;
+  Time level_reported_at = absl::InfinitePast();
   std::vector<BackendStatePtr> backends;
 };
 
@@ -43,11 +43,11 @@
                       Time now);
 
   /// The back end itself said that it is cold for `time_left` from now on.
-  void NoteCold(Duration time_left, BackendState& state, Time now);
+  void RecordCold(Duration time_left, BackendState& state, Time now);
   /// The back end itself asked this node to send it nothing for `time` from now on.
-  void NoteRest(Duration time, BackendState& state, Time now);
+  void RecordBackoff(Duration time, BackendState& state, Time now);
   /// The back end itself said that it is about to end.
-  void NoteLeaving(BackendState& state, Time now);
+  void RecordLeaving(BackendState& state, Time now);
   /// The state of a service, made when it is not known yet. Stays where it is.
   ServiceState& Service(const std::string& name);
   /// Null when no such service is known.
@@ -57,27 +57,28 @@
 
   std::vector<ServiceState*> Services();
   /// Back ends looked at by all changes of registrations so far.
-  uint64_t looked_at() const { return looked_at_; }
+  uint64_t registrations_examined() const { return registrations_examined_; }
   std::vector<BackendBelief> TakeBeliefs();
-  void AddBelief(const BackendState& backend, std::string event, std::string detail);
+  void AddStateChange(const BackendState& backend, std::string event, std::string detail);
   /// Tells when another rank of the service begins to be turned away; not with every wave.
-  void NoteLevel(ServiceState& service, Time now);
+  void RecordAdmissionLevel(ServiceState& service, Time now);
 
  private:
   BackendStatePtr Register(const catalog::Backend& backend);
   /// `backend` proves that earlier incarnations of it have ended.
-  void EndEarlier(const catalog::Backend& backend);
+  void EndEarlierIncarnations(const catalog::Backend& backend);
   void Update(const catalog::Backend& backend, const RegistrationNews& news, BackendState& state,
               Time now);
-  /// `may_have_lapsed`: so many went at once that the store may have lost them by mistake.
-  void MarkGone(const RegistrationNews& news, bool may_have_lapsed, BackendState& state, Time now);
+  /// `may_have_expired`: so many went at once that the store may have lost them by mistake.
+  void MarkDeregistered(const RegistrationNews& news, bool may_have_expired, BackendState& state,
+                        Time now);
   /// Puts the new ones into the lists of their services.
   void List(const std::vector<BackendStatePtr>& added);
   /// Drops back ends that disappeared long ago.
-  void ForgetGone(Time now);
+  void RemoveExpired(Time now);
   /// When a back end that is gone is forgotten.
-  static Time ForgetDue(const BackendState& state);
-  void Forget(const BackendStatePtr& state);
+  static Time RetainedUntil(const BackendState& state);
+  void Remove(const BackendStatePtr& state);
   /// Takes it out of its service's list.
   void Unlist(const BackendStatePtr& state);
 
@@ -89,9 +90,9 @@
   size_t registered_count_ = 0;
   /// Those in `backends_` that are not registered, by when to look whether they are forgotten;
   /// some also that are registered again.
-  std::multimap<Time, BackendStatePtr> gone_;
-  std::vector<BackendBelief> beliefs_;
-  uint64_t looked_at_ = 0;
+  std::multimap<Time, BackendStatePtr> deregistered_;
+  std::vector<BackendBelief> state_changes_;
+  uint64_t registrations_examined_ = 0;
 };
 
 }  // namespace ladderstream::forwarding
--- a/src/core/load/failure_evidence.h
+++ b/src/core/load/failure_evidence.h
@@ -18,7 +18,7 @@
   /// Adds one answer to `count`, one of the two below.
   void Add(Time now, double* count);
   /// What is left by `now` of the counts at `counted_at_`.
-  double Faded(Time now) const;
+  double DecayFactor(Time now) const;
 
   double failed_ = 0;
   double served_ = 0;
--- a/src/core/load/load_counter.cc
+++ b/src/core/load/load_counter.cc
@@ -27,7 +27,7 @@
     sample.backend = backend;
     load.samples.push_back(std::move(sample));
   }
-  load.denied_key = std::exchange(denied_, std::nullopt);
+  load.not_owner_key = std::exchange(not_owner_key_, std::nullopt);
   load.declined = std::exchange(declined_, {});
   keys_.clear();
   samples_.clear();
--- a/src/core/load/load_counter.h
+++ b/src/core/load/load_counter.h
@@ -15,9 +15,9 @@
 
 /// A back end that turned a request away though it had free slots, and for how long it is left
 /// alone.
-struct Declined {
+struct BackendDecline {
   std::string backend;
-  Duration rest;
+  Duration backoff;
 };
 
 /// What a node saw of one service since it told this last, for the coordinator.
@@ -26,8 +26,8 @@
   std::vector<partition::KeyCount> keys;
   std::vector<partition::ServiceTimeSample> samples;
   /// A key whose owner said that it does not own it.
-  std::optional<ownership::Key> denied_key;
-  std::vector<Declined> declined;
+  std::optional<ownership::Key> not_owner_key;
+  std::vector<BackendDecline> declined;
 };
 
 class LoadCounter {
@@ -36,27 +36,29 @@
   /// `elapsed` of an answer. `includes_wait`: the back end tells no load, so it may have waited in
   /// its queue; otherwise it had not waited.
   void AddServiceTime(const std::string& backend, Duration elapsed, bool includes_wait);
-  void SetDenied(ownership::Key key) { denied_ = key; }
+  void SetNotOwnerKey(ownership::Key key) { not_owner_key_ = key; }
 
   /// Once for each rest, not for each request.
-  void AddDeclined(const std::string& backend, Duration rest) {
-    if (declined_.size() < kMostDeclined) {
-      declined_.push_back({backend, rest});
+  void AddDeclined(const std::string& backend, Duration backoff) {
+    if (declined_.size() < kMaxDeclined) {
+      declined_.push_back({backend, backoff});
     }
   }
 
-  bool empty() const { return keys_.empty() && samples_.empty() && !denied_ && declined_.empty(); }
+  bool empty() const {
+    return keys_.empty() && samples_.empty() && !not_owner_key_ && declined_.empty();
+  }
   /// What was counted since the last Take.
   ServiceLoad Take(const std::string& service);
 
  private:
   /// Of one report.
-  static constexpr size_t kMostDeclined = 32;
+  static constexpr size_t kMaxDeclined = 32;
 
   absl::flat_hash_map<ownership::Key, uint32_t> keys_;
   absl::flat_hash_map<std::string, partition::ServiceTimeSample> samples_;
-  std::optional<ownership::Key> denied_;
-  std::vector<Declined> declined_;
+  std::optional<ownership::Key> not_owner_key_;
+  std::vector<BackendDecline> declined_;
 };
 
 }  // namespace ladderstream::load
--- a/src/core/load/load_estimate.cc
+++ b/src/core/load/load_estimate.cc
@@ -14,16 +14,16 @@
 constexpr double kAverageGain = 0.1;
 /// A learned service time fades into the service's average with this time constant.
 constexpr Duration kServiceTimeMemory = absl::Seconds(5);
-/// Told load fades with this many service times, but not quicker than kLeastToldMemory.
-constexpr double kToldMemory = 1.0;
-constexpr Duration kLeastToldMemory = absl::Milliseconds(20);
+/// Told load fades with this many service times, but not quicker than kMinReportMemory.
+constexpr double kReportMemory = 1.0;
+constexpr Duration kMinReportMemory = absl::Milliseconds(20);
 /// While cold, a back end takes this many times as long.
 constexpr double kColdFactor = 2;
 /// An attempt in flight this old, in its own age, shows that the service time is no shorter.
 constexpr double kAgeWeight = 0.5;
 /// After it turned a request away, its queue is taken as short again after so many slot intervals.
 constexpr int kLimitMemory = 4;
-constexpr Duration kLeastFull = absl::Milliseconds(5);
+constexpr Duration kMinFullTime = absl::Milliseconds(5);
 
 void MoveTowards(double sample, double gain, double* average) {
   *average += gain * (sample - *average);
@@ -48,9 +48,9 @@
   MoveTowards(foreign / slots, kAverageGain, &foreign_per_slot_);
 }
 
-void ServiceAverages::NoteTold(const ToldLoad& told) {
-  if (told.slots > 0 && told.running == 0) {
-    told_counts_itself_ = false;
+void ServiceAverages::RecordReport(const ToldLoad& reported) {
+  if (reported.slots > 0 && reported.running == 0) {
+    report_includes_request_ = false;
   }
 }
 
@@ -64,60 +64,61 @@
   }
 }
 
-void LoadEstimate::OnTold(const ToldLoad& told, Time now) {
-  if (told.slots == 0) {
+void LoadEstimate::OnReportedLoad(const ToldLoad& reported, Time now) {
+  if (reported.slots == 0) {
     return;
   }
-  told_ = told;
-  told_at_ = now;
-  const double others =
-      static_cast<double>(told.running) + told.waiting - static_cast<double>(in_flight_.size());
-  told_foreign_ = std::max(0.0, others);
-  MoveTowards(told_foreign_, kForeignGain, &usual_foreign_);
-  averages_.AddForeign(told_foreign_, slots_);
-}
-
-void LoadEstimate::OnServed(Duration elapsed, const ToldLoad& told, Time now) {
-  averages_.NoteTold(told);
-  ToldLoad others = told;
-  if (averages_.told_counts_itself() && others.running > 0) {
+  reported_ = reported;
+  reported_at_ = now;
+  const double others = static_cast<double>(reported.running) + reported.waiting -
+                        static_cast<double>(in_flight_.size());
+  reported_foreign_ = std::max(0.0, others);
+  MoveTowards(reported_foreign_, kForeignGain, &usual_foreign_);
+  averages_.AddForeign(reported_foreign_, slots_);
+}
+
+void LoadEstimate::OnServed(Duration elapsed, const ToldLoad& reported, Time now) {
+  averages_.RecordReport(reported);
+  ToldLoad others = reported;
+  if (averages_.report_includes_request() && others.running > 0) {
     --others.running;
   }
-  OnTold(others, now);
-  if (told.slots > 0 && told.running + told.waiting < limit_) {
+  OnReportedLoad(others, now);
+  if (reported.slots > 0 && reported.running + reported.waiting < limit_) {
     full_until_ = absl::InfinitePast();
   }
   const Duration warm = now < cold_until_ ? elapsed / kColdFactor : elapsed;
-  const Duration learned = LearnedServiceTime(now);
+  const Duration smoothed = SmoothedServiceTime(now);
   // With a queue the elapsed time is only an upper bound.
-  if (told.waiting > 0 && warm > learned) {
+  if (reported.waiting > 0 && warm > smoothed) {
     return;
   }
-  Learn(warm, now);
+  UpdateServiceTime(warm, now);
   averages_.AddServiceTime(warm);
 }
 
-void LoadEstimate::Learn(Duration service_time, Time now) {
-  const Duration learned = LearnedServiceTime(now);
+void LoadEstimate::UpdateServiceTime(Duration service_time, Time now) {
+  const Duration smoothed = SmoothedServiceTime(now);
   service_time_ = service_time_at_ == absl::InfinitePast()
                       ? service_time
-                      : learned + kServiceTimeGain * (service_time - learned);
+                      : smoothed + kServiceTimeGain * (service_time - smoothed);
   service_time_at_ = now;
 }
 
 void LoadEstimate::OnUnanswered(Duration elapsed, Time now) {
   // A lower bound, and it says nothing of a back end with a queue.
-  if (elapsed > LearnedServiceTime(now) && !KnownBusy(now)) {
-    Learn(elapsed, now);
+  if (elapsed > SmoothedServiceTime(now) && !KnownBusy(now)) {
+    UpdateServiceTime(elapsed, now);
   }
 }
 
-void LoadEstimate::OnShed(const ToldLoad& told, Time now) {
-  OnTold(told, now);
-  const Duration interval = LearnedServiceTime(now) / slots_;
-  full_until_ = now + std::max(interval, kLeastFull);
-  if (told.slots > 0) {
-    limit_ = std::max<double>(static_cast<double>(told.running) + told.waiting, slots_ + 1.0);
+void LoadEstimate::OnShed(const ToldLoad& reported, Time now) {
+  OnReportedLoad(reported, now);
+  const Duration interval = SmoothedServiceTime(now) / slots_;
+  full_until_ = now + std::max(interval, kMinFullTime);
+  if (reported.slots > 0) {
+    limit_ =
+        std::max<double>(static_cast<double>(reported.running) + reported.waiting, slots_ + 1.0);
     limit_until_ = now + kLimitMemory * interval;
   }
 }
@@ -130,13 +131,15 @@
 
 double LoadEstimate::Occupancy(Time now) const {
   const double usual = (usual_foreign_ + AverageForeign()) / 2;
-  const Duration queue = told_.waiting * LearnedServiceTime(now) / slots_;
-  const Duration memory = std::max(kToldMemory * LearnedServiceTime(now) + queue, kLeastToldMemory);
-  const double foreign = usual + (told_foreign_ - usual) * ExponentialDecay(ToldAge(now), memory);
+  const Duration queue = reported_.waiting * SmoothedServiceTime(now) / slots_;
+  const Duration memory =
+      std::max(kReportMemory * SmoothedServiceTime(now) + queue, kMinReportMemory);
+  const double foreign =
+      usual + (reported_foreign_ - usual) * ExponentialDecay(ReportAge(now), memory);
   return foreign + static_cast<double>(in_flight_.size());
 }
 
-Duration LoadEstimate::LearnedServiceTime(Time now) const {
+Duration LoadEstimate::SmoothedServiceTime(Time now) const {
   const Duration average = averages_.ServiceTime();
   if (service_time_at_ == absl::InfinitePast()) {
     return average;
@@ -146,7 +149,7 @@
 }
 
 Duration LoadEstimate::ServiceTime(Time now) const {
-  Duration time = LearnedServiceTime(now);
+  Duration time = SmoothedServiceTime(now);
   if (now < cold_until_) {
     time *= kColdFactor;
   }
@@ -157,13 +160,13 @@
 }
 
 Duration LoadEstimate::ExpectedWait(Time now) const {
-  const Duration warm = LearnedServiceTime(now);
+  const Duration warm = SmoothedServiceTime(now);
   return (now < cold_until_ ? warm * kColdFactor : warm) / slots_ *
          SmoothExcess(Occupancy(now), slots_);
 }
 
 bool LoadEstimate::KnownBusy(Time now) const {
-  const bool fresh = ToldAge(now) < kLimitMemory * LearnedServiceTime(now);
+  const bool fresh = ReportAge(now) < kLimitMemory * SmoothedServiceTime(now);
   return in_flight_.size() >= slots_ || (fresh && Occupancy(now) >= slots_);
 }
 
--- a/src/core/load/load_estimate.h
+++ b/src/core/load/load_estimate.h
@@ -24,19 +24,19 @@
   /// `foreign`: requests at the back end that are not this node's.
   void AddForeign(double foreign, uint32_t slots);
   /// Told figures count the request that they come with, until one is seen that does not.
-  void NoteTold(const ToldLoad& told);
+  void RecordReport(const ToldLoad& reported);
 
   Duration ServiceTime() const { return known_ ? service_time_ : prior_; }
   /// Requests of other nodes per slot.
   double foreign_per_slot() const { return foreign_per_slot_; }
-  bool told_counts_itself() const { return told_counts_itself_; }
+  bool report_includes_request() const { return report_includes_request_; }
 
  private:
   Duration prior_ = absl::Milliseconds(100);
   Duration service_time_ = absl::ZeroDuration();
   bool known_ = false;
   double foreign_per_slot_ = 0;
-  bool told_counts_itself_ = true;
+  bool report_includes_request_ = true;
 };
 
 class LoadEstimate {
@@ -52,13 +52,13 @@
   /// The attempt sent at `started` is over, whatever came of it.
   void OnEnd(Time started);
   /// It served a request in `elapsed`. After OnEnd.
-  void OnServed(Duration elapsed, const ToldLoad& told, Time now);
+  void OnServed(Duration elapsed, const ToldLoad& reported, Time now);
   /// It had not served a request after `elapsed`, which then was given up. After OnEnd.
   void OnUnanswered(Duration elapsed, Time now);
   /// It told its load with another answer. After OnEnd.
-  void OnTold(const ToldLoad& told, Time now);
+  void OnReportedLoad(const ToldLoad& reported, Time now);
   /// It turned a request away since it is full; `told` may be empty. After OnEnd.
-  void OnShed(const ToldLoad& told, Time now);
+  void OnShed(const ToldLoad& reported, Time now);
 
   /// Whether it would most likely turn the next request away.
   bool Full(Time now) const;
@@ -76,14 +76,14 @@
 
   uint32_t in_flight() const { return static_cast<uint32_t>(in_flight_.size()); }
   uint32_t slots() const { return slots_; }
-  const ToldLoad& told() const { return told_; }
+  const ToldLoad& reported() const { return reported_; }
   /// How old what it told is; infinite when it told nothing.
-  Duration ToldAge(Time now) const { return now - told_at_; }
+  Duration ReportAge(Time now) const { return now - reported_at_; }
 
  private:
   double AverageForeign() const;
-  Duration LearnedServiceTime(Time now) const;
-  void Learn(Duration service_time, Time now);
+  Duration SmoothedServiceTime(Time now) const;
+  void UpdateServiceTime(Duration service_time, Time now);
 
   ServiceAverages& averages_;
   uint32_t slots_;
@@ -91,9 +91,9 @@
   /// When each attempt in flight was sent, oldest first.
   std::vector<Time> in_flight_;
 
-  ToldLoad told_;
-  Time told_at_ = absl::InfinitePast();
-  double told_foreign_ = 0;
+  ToldLoad reported_;
+  Time reported_at_ = absl::InfinitePast();
+  double reported_foreign_ = 0;
   double usual_foreign_ = 0;
 
   Duration service_time_ = absl::ZeroDuration();
--- a/src/core/load/outlier_detector.cc
+++ b/src/core/load/outlier_detector.cc
@@ -5,12 +5,12 @@
 namespace ladderstream::load {
 namespace {
 
-constexpr Duration kFirstUnreachable = absl::Milliseconds(100);
-constexpr Duration kLongestUnreachable = absl::Seconds(2);
-constexpr Duration kLongestUnreachableOwner = absl::Milliseconds(400);
+constexpr Duration kInitialUnreachable = absl::Milliseconds(100);
+constexpr Duration kMaxUnreachable = absl::Seconds(2);
+constexpr Duration kMaxUnreachableOwner = absl::Milliseconds(400);
 constexpr uint32_t kFailuresToEject = 3;
-constexpr Duration kFirstSuspect = absl::Seconds(1);
-constexpr Duration kLongestSuspect = absl::Seconds(5);
+constexpr Duration kInitialSuspect = absl::Seconds(1);
+constexpr Duration kMaxSuspect = absl::Seconds(5);
 constexpr uint32_t kMaxDoublings = 8;
 
 /// `first`, doubled `times`, at most `longest`.
@@ -21,7 +21,7 @@
 }  // namespace
 
 Duration OutlierDetector::EjectUnreachable(Time now) {
-  const Duration time = Doubled(kFirstUnreachable, connect_failures_ - 1, kLongestUnreachable);
+  const Duration time = Doubled(kInitialUnreachable, connect_failures_ - 1, kMaxUnreachable);
   connect_failed_at_ = now;
   unreachable_until_ = now + time;
   return time;
@@ -43,19 +43,19 @@
   if (failures_ < kFailuresToEject || Suspect(now)) {
     return absl::ZeroDuration();
   }
-  const Duration time = Doubled(kFirstSuspect, ejections_, kLongestSuspect);
+  const Duration time = Doubled(kInitialSuspect, ejections_, kMaxSuspect);
   ++ejections_;
   suspect_until_ = now + time;
   return time;
 }
 
 Duration OutlierDetector::OnWrongInstance(Time now) {
-  unreachable_until_ = now + kLongestUnreachable;
-  return kLongestUnreachable;
+  unreachable_until_ = now + kMaxUnreachable;
+  return kMaxUnreachable;
 }
 
 Time OutlierDetector::owner_unreachable_until() const {
-  return std::min(unreachable_until_, connect_failed_at_ + kLongestUnreachableOwner);
+  return std::min(unreachable_until_, connect_failed_at_ + kMaxUnreachableOwner);
 }
 
 void OutlierDetector::OnConnected() {
--- a/src/node/load_exchange.cc
+++ b/src/node/load_exchange.cc
@@ -24,12 +24,12 @@
     report.busy_us.push_back(static_cast<uint64_t>(absl::ToInt64Microseconds(sample.total)));
     report.includes_wait.push_back(sample.includes_wait ? 1 : 0);
   }
-  if (load.denied_key) {
-    report.denied_keys.push_back(*load.denied_key);
+  if (load.not_owner_key) {
+    report.denied_keys.push_back(*load.not_owner_key);
   }
-  for (const load::Declined& declined : load.declined) {
+  for (const load::BackendDecline& declined : load.declined) {
     report.declined_by.push_back(declined.backend);
-    report.rest_ms.push_back(static_cast<uint32_t>(absl::ToInt64Milliseconds(declined.rest)));
+    report.rest_ms.push_back(static_cast<uint32_t>(absl::ToInt64Milliseconds(declined.backoff)));
   }
   return report;
 }
--- a/tests/unit/forwarding/ill_back_end_replay.cc
+++ b/tests/unit/forwarding/ill_back_end_replay.cc
@@ -8,31 +8,32 @@
 namespace ladderstream::forwarding {
 namespace {
 
-constexpr Duration kTurnedAwayAfter = absl::Milliseconds(2);
-constexpr int kSlowness = 8;
+constexpr Duration kRejectionTime = absl::Milliseconds(2);
+constexpr int kSlowdown = 8;
 
-class IllFleet {
+class FaultyFleet {
  public:
-  explicit IllFleet(const IllnessPlay& play)
-      : play_(play), harness_(Settings(play)), random_(play.seed) {
+  explicit FaultyFleet(const FaultScenario& scenario)
+      : scenario_(scenario), harness_(Settings(scenario)), random_(scenario.seed) {
     catalog::Configuration configuration = DispatcherHarness::DefaultConfiguration();
     configuration.version = 2;
     harness_.Configure(configuration);
     std::vector<std::string> ids;
-    ids.reserve(static_cast<size_t>(play.backends));
-    for (int i = 0; i < play.backends; ++i) {
+    ids.reserve(static_cast<size_t>(scenario.backends));
+    for (int i = 0; i < scenario.backends; ++i) {
       ids.push_back(absl::StrCat("x-", i));
     }
-    harness_.AddBackends(play.service, ids);
-    if (play.service == "scripts") {
+    harness_.AddBackends(scenario.service, ids);
+    if (scenario.service == "scripts") {
       harness_.Own(ids.front());
     }
     harness_.after_tick = [this] { TakeDecisions(); };
     start_ = harness_.now;
   }
 
-  IllnessOutcome Run() {
-    const Time end = start_ + play_.well + play_.length + play_.recovered;
+  FaultOutcome Run() {
+    const Time end =
+        start_ + scenario_.healthy_time + scenario_.fault_time + scenario_.recovery_time;
     Time next_request = start_;
     while (next_request < end) {
       if (!answers_.empty() && answers_.begin()->first <= next_request) {
@@ -43,34 +44,35 @@
       StartRequest();
       // Exponential gaps: what meets by chance meets here, too.
       std::exponential_distribution<double> gap(1);
-      next_request += play_.between_requests * gap(random_);
+      next_request += scenario_.between_requests * gap(random_);
     }
-    outcome_.share_after = late_ == 0 ? 0 : static_cast<double>(late_at_ill_) / late_;
+    outcome_.share_after = late_ == 0 ? 0 : static_cast<double>(late_at_faulty_) / late_;
     return outcome_;
   }
 
  private:
   struct Arrived {
     SendDecision send;
-    bool ill = false;
+    bool faulty = false;
   };
 
-  static DispatcherSettings Settings(const IllnessPlay& play) {
+  static DispatcherSettings Settings(const FaultScenario& scenario) {
     DispatcherSettings settings = DispatcherHarness::DefaultSettings();
-    settings.seed = play.seed;
+    settings.seed = scenario.seed;
     settings.node_count = 1;
     return settings;
   }
 
-  bool InIllness(Time time) const {
-    return time >= start_ + play_.well && time < start_ + play_.well + play_.length;
+  bool InFault(Time time) const {
+    return time >= start_ + scenario_.healthy_time &&
+           time < start_ + scenario_.healthy_time + scenario_.fault_time;
   }
-  bool IsIll(const std::string& id) const { return std::stoi(id.substr(2)) < play_.ill; }
+  bool IsFaulty(const std::string& id) const { return std::stoi(id.substr(2)) < scenario_.faulty; }
 
   void StartRequest() {
     const RequestHandle handle =
-        harness_.Start(absl::StrCat("/", play_.service, "/1"), absl::Seconds(2), 77);
-    if (InIllness(harness_.now)) {
+        harness_.Start(absl::StrCat("/", scenario_.service, "/1"), absl::Seconds(2), 77);
+    if (InFault(harness_.now)) {
       counted_.insert(handle);
       ++outcome_.requests;
     }
@@ -104,25 +106,28 @@
 
   void Arrive(const SendDecision& send, bool counted) {
     harness_.Sent(send);
-    const bool ill_one = IsIll(send.backend);
+    const bool is_faulty = IsFaulty(send.backend);
     std::uniform_real_distribution<double> chance(0, 1);
-    const bool fails = ill_one && InIllness(harness_.now) && chance(random_) < play_.failure_share;
+    const bool fails =
+        is_faulty && InFault(harness_.now) && chance(random_) < scenario_.failure_share;
     if (counted) {
       ++outcome_.sends;
       outcome_.sent_again += send.cause == SendCause::kFirst ? 0 : 1;
-      outcome_.sent_to_ill += ill_one ? 1 : 0;
+      outcome_.sent_to_faulty += is_faulty ? 1 : 0;
     }
-    if (harness_.now >= start_ + play_.well + play_.length + play_.recovered - absl::Seconds(1)) {
+    if (harness_.now >= start_ + scenario_.healthy_time + scenario_.fault_time +
+                            scenario_.recovery_time - absl::Seconds(1)) {
       ++late_;
-      late_at_ill_ += ill_one ? 1 : 0;
+      late_at_faulty_ += is_faulty ? 1 : 0;
     }
-    Duration time = play_.service_time * std::uniform_real_distribution<double>(0.7, 1.3)(random_);
-    if (fails && play_.illness == Illness::kSlow) {
-      time *= kSlowness;
-    } else if (fails && play_.illness == Illness::kHangs) {
+    Duration time =
+        scenario_.service_time * std::uniform_real_distribution<double>(0.7, 1.3)(random_);
+    if (fails && scenario_.fault == FaultKind::kSlow) {
+      time *= kSlowdown;
+    } else if (fails && scenario_.fault == FaultKind::kHangs) {
       time = send.answer_by - harness_.now;
     } else if (fails) {
-      time = kTurnedAwayAfter;
+      time = kRejectionTime;
     }
     answers_.emplace(harness_.now + time, Arrived{send, fails});
   }
@@ -140,15 +145,15 @@
     answers_.erase(found);
     const SendDecision& send = arrived.send;
     error_ = false;
-    if (!arrived.ill || play_.illness == Illness::kSlow) {
+    if (!arrived.faulty || scenario_.fault == FaultKind::kSlow) {
       harness_.Answer(send);
-    } else if (play_.illness == Illness::kSheds) {
+    } else if (scenario_.fault == FaultKind::kSheds) {
       harness_.Refuse(send, 503, 0, 1);
-    } else if (play_.illness == Illness::kClaimsToBeFull) {
+    } else if (scenario_.fault == FaultKind::kReportsFull) {
       harness_.Refuse(send, 503, 8, 2);
-    } else if (play_.illness == Illness::kResets) {
+    } else if (scenario_.fault == FaultKind::kResets) {
       harness_.Fail(send, AttemptFailure::kLost);
-    } else if (play_.illness == Illness::kErrors) {
+    } else if (scenario_.fault == FaultKind::kErrors) {
       error_ = true;
       harness_.Answer(send, 500);
     } else {
@@ -158,7 +163,7 @@
     error_ = false;
   }
 
-  const IllnessPlay play_;
+  const FaultScenario scenario_;
   DispatcherHarness harness_;
   std::mt19937_64 random_;
   Time start_;
@@ -168,12 +173,12 @@
   /// The answer passed on at this moment is a back end's own error.
   bool error_ = false;
   int late_ = 0;
-  int late_at_ill_ = 0;
-  IllnessOutcome outcome_;
+  int late_at_faulty_ = 0;
+  FaultOutcome outcome_;
 };
 
 }  // namespace
 
-IllnessOutcome Play(const IllnessPlay& play) { return IllFleet(play).Run(); }
+FaultOutcome Replay(const FaultScenario& scenario) { return FaultyFleet(scenario).Run(); }
 
 }  // namespace ladderstream::forwarding
--- a/tests/unit/forwarding/ill_back_end_replay.h
+++ b/tests/unit/forwarding/ill_back_end_replay.h
@@ -12,11 +12,11 @@
 namespace ladderstream::forwarding {
 
 /// How an ill back end fails a request.
-enum class Illness {
+enum class FaultKind {
   /// It turns it away, with free slots by its own word.
   kSheds,
   /// It turns it away and says that all its slots and its queue are taken.
-  kClaimsToBeFull,
+  kReportsFull,
   /// It resets the connection.
   kResets,
   /// It never answers.
@@ -27,24 +27,24 @@
   kSlow,
 };
 
-struct IllnessPlay {
+struct FaultScenario {
   std::string service = "cards";
   int backends = 8;
-  int ill = 1;
-  Illness illness = Illness::kSheds;
+  int faulty = 1;
+  FaultKind fault = FaultKind::kSheds;
   /// The share of its requests that an ill back end fails.
   double failure_share = 0.5;
   Duration between_requests = absl::Milliseconds(10);
   Duration service_time = absl::Milliseconds(60);
   /// Before the illness, of the illness, and after it.
-  Duration well = absl::Seconds(2);
-  Duration length = absl::Seconds(10);
-  Duration recovered = absl::Seconds(5);
+  Duration healthy_time = absl::Seconds(2);
+  Duration fault_time = absl::Seconds(10);
+  Duration recovery_time = absl::Seconds(5);
   uint64_t seed = 1;
 };
 
 /// Of the requests that came while back ends were ill.
-struct IllnessOutcome {
+struct FaultOutcome {
   int requests = 0;
   int served = 0;
   /// Final answers of the node that say that the request has not run, and other failures.
@@ -52,11 +52,11 @@
   int failed = 0;
   int sends = 0;
   int sent_again = 0;
-  int sent_to_ill = 0;
+  int sent_to_faulty = 0;
   /// The share of the requests that formerly ill back ends got in the last second of `recovered`.
   double share_after = 0;
 };
 
-IllnessOutcome Play(const IllnessPlay& play);
+FaultOutcome Replay(const FaultScenario& scenario);
 
 }  // namespace ladderstream::forwarding
--- a/tests/unit/forwarding/service_table_test.cc
+++ b/tests/unit/forwarding/service_table_test.cc
@@ -1,7 +1,7 @@
 // At the start of 984 nodes and 9,998 back ends, 78% of all nodes' processor time went into
 // comparing each back end that was new with all that were known, 100 million times on each node;
 // after five minutes of play 5.8 s had been simulated. A profile of second 5 named
-// ServiceTable::EndEarlier.
+// ServiceTable::EndEarlierIncarnations.
 #include "core/forwarding/service_table.h"
 
 #include <absl/strings/str_cat.h>
@@ -33,9 +33,9 @@
   }
   /// Gives how many back ends were looked at.
   uint64_t Change(const catalog::BackendChanges& changes) {
-    const uint64_t before = table.looked_at();
+    const uint64_t before = table.registrations_examined();
     table.ChangeBackends(changes, {}, now);
-    return table.looked_at() - before;
+    return table.registrations_examined() - before;
   }
 
   Time now = absl::FromUnixSeconds(1000);
@@ -46,7 +46,7 @@
 BOOST_FIXTURE_TEST_SUITE(service_table, LargeTable)
 
 BOOST_AUTO_TEST_CASE(a_start_looks_at_each_back_end_once) {
-  BOOST_TEST(table.looked_at() == kBackends);
+  BOOST_TEST(table.registrations_examined() == kBackends);
   BOOST_TEST(table.Service("cards").backends.size() == kBackends);
 }
 
--- a/tests/unit/forwarding/sharded_test.cc
+++ b/tests/unit/forwarding/sharded_test.cc
@@ -76,7 +76,7 @@
   Sent(first);
   Answer(first, 421);
   BOOST_TEST(Quiet());
-  BOOST_REQUIRE_EQUAL(dispatcher.TakeLoad().at(0).denied_key.value_or(0), kKey);
+  BOOST_REQUIRE_EQUAL(dispatcher.TakeLoad().at(0).not_owner_key.value_or(0), kKey);
   Own("s-2");
   const auto second = Only<SendDecision>();
   BOOST_TEST(second.backend == "s-2");
--- a/tests/unit/node/catalog_tables_test.cc
+++ b/tests/unit/node/catalog_tables_test.cc
@@ -1,5 +1,5 @@
 // A node of 9,998 back ends decoded every registration again at each change of any of them: second
-// in the profile of a start, and first once ServiceTable::EndEarlier was gone from it.
+// in the profile of a start, and first once ServiceTable::EndEarlierIncarnations was gone from it.
 #include "node/catalog_tables.h"
 
 #include <absl/strings/str_cat.h>
--- a/tests/unit/requested_rest/requested_rest_test.cc
+++ b/tests/unit/requested_rest/requested_rest_test.cc
@@ -205,7 +205,7 @@
   BOOST_TEST_REQUIRE(loads.size() == 1U);
   BOOST_TEST_REQUIRE(loads.front().declined.size() == 1U);
   BOOST_TEST(loads.front().declined.front().backend == "owner");
-  BOOST_TEST((loads.front().declined.front().rest == kRest));
+  BOOST_TEST((loads.front().declined.front().backoff == kRest));
   Advance(kRest);
   dispatcher.TakeDecisions();
   const SendDecision full = StartAndSend("/scripts/x", absl::Seconds(2), 7);
