--- a/src/core/forwarding/backend_state.h
+++ b/src/core/forwarding/backend_state.h
@@ -1,4 +1,4 @@
-// One back end as this node sees it: its registration, its load and its faults.
+// State of one back end as seen by this node: registration, load and failures.
 #pragma once
 
 #include <memory>
@@ -19,27 +19,27 @@
   bool UsableAsOwner(Time now) const { return now < owner_usable_until; }
   bool InBackoff(Time now) const { return now < backoff_until; }
 
-  /// The newest one; the last one after it disappeared.
+  /// The latest registration; the last one received if the back end has been deregistered.
   catalog::Backend registration;
-  /// The registration exists.
+  /// Whether the registration currently exists.
   bool registered = true;
   /// When the registration disappeared.
   Time deregistered_at = absl::InfiniteFuture();
-  /// Requests that any back end of the service may run go here only before this.
+  /// Requests that any back end of the service may run are sent here only before this time.
   Time usable_until = absl::InfiniteFuture();
-  /// Requests for keys that it owns go here only before this.
+  /// Requests for keys that this back end owns are sent here only before this time.
   Time owner_usable_until = absl::InfiniteFuture();
-  /// It said itself that it is about to end. Never taken back: the next one is another incarnation.
+  /// The back end itself announced its shutdown. Never reset: its next start is a new incarnation.
   bool reported_leaving = false;
-  /// It said itself that it is cold until then.
+  /// End of the cold phase as reported by the back end itself.
   Time reported_cold_until = absl::InfinitePast();
-  /// While it is cold, this node may send the next request then.
+  /// While the back end is cold, the earliest time of this node's next request to it.
   Time next_cold_send = absl::InfinitePast();
-  /// It asked this node to send it nothing before then.
+  /// The back end asked this node to send it nothing before this time.
   Time backoff_until = absl::InfinitePast();
   load::LoadEstimate load;
   load::OutlierDetector outlier;
-  /// Of requests for keys that it owns.
+  /// Limit on requests for keys that this back end owns.
   admission::OwnerLimit owner_limit;
 };
 
--- a/src/core/forwarding/route_index.cc
+++ b/src/core/forwarding/route_index.cc
@@ -30,7 +30,7 @@
     return nullptr;
   }
   std::string_view prefix = target.substr(0, target.find_first_of("?#"));
-  // Every prefix ends with a slash, so only those ends need a look, from the longest down.
+  // Every path prefix ends with a slash, so only those positions are checked, longest prefix first.
   for (size_t slash = prefix.rfind('/'); slash != std::string_view::npos;
        slash = prefix.rfind('/')) {
     const auto route = routes->second.find(prefix.substr(0, slash + 1));
--- a/src/core/forwarding/route_index.h
+++ b/src/core/forwarding/route_index.h
@@ -13,19 +13,19 @@
 
 namespace ladderstream::forwarding {
 
-/// A snapshot of one configuration's routes. Routes that it returns live as long as the
+/// An index of the routes of one configuration. The returned routes live as long as the
 /// configuration.
 class RouteIndex {
  public:
-  /// Empty: finds nothing.
+  /// Constructs an empty index, which finds nothing.
   RouteIndex() = default;
   explicit RouteIndex(std::shared_ptr<const catalog::Configuration> configuration);
 
-  /// The route for `host` (any case, with or without port) whose prefix of the path of `target` is
-  /// longest; null when there is none.
+  /// Returns the route for `host` (in any case, with or without port) with the longest prefix of
+  /// the path of `target`; null when there is none.
   const catalog::Route* Find(std::string_view host, std::string_view target) const;
 
-  /// Null when no configuration is known.
+  /// Returns null when no configuration is known.
   const std::shared_ptr<const catalog::Configuration>& configuration() const {
     return configuration_;
   }
--- a/src/core/forwarding/traffic_split.cc
+++ b/src/core/forwarding/traffic_split.cc
@@ -7,7 +7,7 @@
 namespace ladderstream::forwarding {
 namespace {
 
-/// A new cycle starts after fewer steps than this.
+/// A new cycle is advanced by a random number of steps below this.
 constexpr uint64_t kMaxInitialSteps = 100;
 
 }  // namespace
--- a/src/core/forwarding/traffic_split.h
+++ b/src/core/forwarding/traffic_split.h
@@ -1,4 +1,4 @@
-// Divides the requests of each route among its services by weight, with low discrepancy.
+// Divides the requests of each route among its services by weight.
 #pragma once
 
 #include <absl/container/flat_hash_map.h>
@@ -11,24 +11,25 @@
 
 namespace ladderstream::forwarding {
 
-/// Smooth weighted round robin: after n requests, each service is within one or two requests of
-/// its exact share.
+/// Smooth weighted round robin: after n requests, each service is within one or two requests of its
+/// exact share.
 class TrafficSplit {
  public:
-  /// Each split starts at a random place of its cycle, so that nodes do not move in step.
+  /// Each split starts at a random position of its cycle, so that nodes do not run in lockstep.
   explicit TrafficSplit(std::mt19937_64& random) : random_(random) {}
 
-  /// Takes over the routes of a new configuration. A route whose targets did not change goes on
-  /// where it was.
+  /// Replaces the routes with those of a new configuration. A route whose targets are unchanged
+  /// continues its cycle.
   void SetRoutes(const std::vector<catalog::Route>& routes);
 
-  /// The service for the next request of `route`, a route of the newest SetRoutes.
+  /// Returns the service for the next request of `route`, which must be a route of the latest
+  /// SetRoutes.
   const std::string& Next(const catalog::Route& route);
 
  private:
   struct Cycle {
     std::vector<catalog::RouteTarget> targets;
-    /// How far each target is behind its share, in units of weight; sums to zero.
+    /// How far each target is behind its share, in units of weight; the sum is zero.
     std::vector<double> credits;
   };
 
--- a/src/core/load/failure_evidence.cc
+++ b/src/core/load/failure_evidence.cc
@@ -5,14 +5,15 @@
 namespace ladderstream::load {
 namespace {
 
-/// Time constant of the fading. With 10 s, formerly ill back ends got 0.02 of the requests 5 s
-/// after they were well, with 5 s 0.08, where 0.14 is their share; while they were ill, both sent
-/// them as little (replay of the unit test ill_back_end, 14 back ends, 20 seeds).
+/// Time constant of the decay. 5 s after recovering from a fault, back ends whose fair share is
+/// 0.14 of the requests got 0.02 with 10 s and 0.08 with 5 s; during the fault, both sent them
+/// equally few (replay of the unit test ill_back_end, 14 back ends, 20 seeds).
 constexpr Duration kDecayTime = absl::Seconds(5);
-/// Requests taken as served before anything is known: one failure makes odds of 1, not infinity.
+/// Successes assumed before the first answer, so that a single failure gives odds of 1 instead of
+/// infinity.
 constexpr double kPriorServed = 1;
-/// Answers that count at most; older ones give way. A back end that is well again shows it with as
-/// many, however long it was ill.
+/// Maximum total weight of the answers; newer answers displace older ones. A recovered back end
+/// needs only this many successes to show it, however long the fault lasted.
 constexpr double kMaxAnswers = 5;
 
 }  // namespace
--- a/src/core/load/failure_evidence.h
+++ b/src/core/load/failure_evidence.h
@@ -1,23 +1,25 @@
-// How often the requests of one node fail at one back end, from few and old answers.
+// Estimates the failure rate of one node's requests at one back end from few and possibly old
+// answers.
 #pragma once
 
 #include "wire/time.h"
 
 namespace ladderstream::load {
 
-/// Counts of failures and successes that fade with time. Pure; of one thread.
+/// Counts of failures and successes that decay exponentially with time. Pure; not thread-safe.
 class FailureEvidence {
  public:
   void AddFailure(Time now) { Add(now, &failed_); }
   void AddSuccess(Time now) { Add(now, &served_); }
 
-  /// Failures for each request served, as far as the answers of late show; 0 when none failed.
+  /// Returns the number of failures per request served, weighted towards recent answers; 0 when no
+  /// request failed.
   double Odds(Time now) const;
 
  private:
-  /// Adds one answer to `count`, one of the two below.
+  /// Adds one answer to `count`, which is `failed_` or `served_`.
   void Add(Time now, double* count);
-  /// What is left by `now` of the counts at `counted_at_`.
+  /// Returns the factor by which the counts taken at `counted_at_` have decayed by `now`.
   double DecayFactor(Time now) const;
 
   double failed_ = 0;
--- a/src/core/load/load_counter.cc
+++ b/src/core/load/load_counter.cc
@@ -7,7 +7,8 @@
 void LoadCounter::AddServiceTime(const std::string& backend, Duration elapsed, bool includes_wait) {
   partition::ServiceTimeSample& sample = samples_[backend];
   if (sample.includes_wait != includes_wait) {
-    // It tells its load now and then. Answers of both kinds cannot be summed up in one sample.
+    // The back end reports its load only in some answers. Samples with and without queueing time
+    // cannot be added up, so start a new sample.
     sample = {};
     sample.includes_wait = includes_wait;
   }
--- a/src/core/load/load_counter.h
+++ b/src/core/load/load_counter.h
@@ -1,4 +1,4 @@
-// Counts, for the coordinator, what the requests of one sharded service asked for and met.
+// Counts the requests of one sharded service and their results for the report to the coordinator.
 #pragma once
 
 #include <absl/container/flat_hash_map.h>
@@ -13,19 +13,19 @@
 
 namespace ladderstream::load {
 
-/// A back end that turned a request away though it had free slots, and for how long it is left
-/// alone.
+/// A back end that rejected a request although it had free slots, and how long this node sends it
+/// nothing.
 struct BackendDecline {
   std::string backend;
   Duration backoff;
 };
 
-/// What a node saw of one service since it told this last, for the coordinator.
+/// What a node observed of one service since its previous report to the coordinator.
 struct ServiceLoad {
   std::string service;
   std::vector<partition::KeyCount> keys;
   std::vector<partition::ServiceTimeSample> samples;
-  /// A key whose owner said that it does not own it.
+  /// A key that its assigned owner rejected because it does not own it.
   std::optional<ownership::Key> not_owner_key;
   std::vector<BackendDecline> declined;
 };
@@ -33,12 +33,12 @@
 class LoadCounter {
  public:
   void AddKey(ownership::Key key) { ++keys_[key]; }
-  /// `elapsed` of an answer. `includes_wait`: the back end tells no load, so it may have waited in
-  /// its queue; otherwise it had not waited.
+  /// Adds the elapsed time of one answer. `includes_wait` is true for a back end that does not
+  /// report its load: its time may include queueing. Otherwise the request did not queue.
   void AddServiceTime(const std::string& backend, Duration elapsed, bool includes_wait);
   void SetNotOwnerKey(ownership::Key key) { not_owner_key_ = key; }
 
-  /// Once for each rest, not for each request.
+  /// Call once per back-off period, not once per request.
   void AddDeclined(const std::string& backend, Duration backoff) {
     if (declined_.size() < kMaxDeclined) {
       declined_.push_back({backend, backoff});
@@ -48,11 +48,11 @@
   bool empty() const {
     return keys_.empty() && samples_.empty() && !not_owner_key_ && declined_.empty();
   }
-  /// What was counted since the last Take.
+  /// Returns the counts since the previous call and resets them.
   ServiceLoad Take(const std::string& service);
 
  private:
-  /// Of one report.
+  /// Maximum number of entries in one report.
   static constexpr size_t kMaxDeclined = 32;
 
   absl::flat_hash_map<ownership::Key, uint32_t> keys_;
--- a/src/core/load/load_estimate.cc
+++ b/src/core/load/load_estimate.cc
@@ -12,16 +12,17 @@
 constexpr double kServiceTimeGain = 0.3;
 constexpr double kForeignGain = 0.3;
 constexpr double kAverageGain = 0.1;
-/// A learned service time fades into the service's average with this time constant.
+/// Time constant with which a back end's own service time decays to the average of the service.
 constexpr Duration kServiceTimeMemory = absl::Seconds(5);
-/// Told load fades with this many service times, but not quicker than kMinReportMemory.
+/// The reported load decays over this many service times, but no faster than kMinReportMemory.
 constexpr double kReportMemory = 1.0;
 constexpr Duration kMinReportMemory = absl::Milliseconds(20);
-/// While cold, a back end takes this many times as long.
+/// A cold back end takes this many times as long per request.
 constexpr double kColdFactor = 2;
-/// An attempt in flight this old, in its own age, shows that the service time is no shorter.
+/// The age of the oldest attempt in flight, times this weight, is a lower bound of the service
+/// time.
 constexpr double kAgeWeight = 0.5;
-/// After it turned a request away, its queue is taken as short again after so many slot intervals.
+/// The limit at which the back end rejected a request is used for this many slot intervals.
 constexpr int kLimitMemory = 4;
 constexpr Duration kMinFullTime = absl::Milliseconds(5);
 
@@ -29,8 +30,8 @@
   *average += gain * (sample - *average);
 }
 
-/// How many requests too many `occupancy` plus one is for `slots`; smooth around zero, as the
-/// occupancy is only known on average.
+/// Returns by how many requests `occupancy` plus one exceeds `slots`. Smooth around zero because
+/// the occupancy is only an average.
 double SmoothExcess(double occupancy, uint32_t slots) {
   const double excess = occupancy + 1 - slots;
   return (excess + std::sqrt(excess * excess + 1)) / 2;
@@ -89,7 +90,7 @@
   }
   const Duration warm = now < cold_until_ ? elapsed / kColdFactor : elapsed;
   const Duration smoothed = SmoothedServiceTime(now);
-  // With a queue the elapsed time is only an upper bound.
+  // If the request may have queued, the elapsed time is only an upper bound.
   if (reported.waiting > 0 && warm > smoothed) {
     return;
   }
@@ -106,7 +107,7 @@
 }
 
 void LoadEstimate::OnUnanswered(Duration elapsed, Time now) {
-  // A lower bound, and it says nothing of a back end with a queue.
+  // The elapsed time is a lower bound of the service time, unless the request may have been queued.
   if (elapsed > SmoothedServiceTime(now) && !KnownBusy(now)) {
     UpdateServiceTime(elapsed, now);
   }
--- a/src/core/load/load_estimate.h
+++ b/src/core/load/load_estimate.h
@@ -1,8 +1,8 @@
-// How busy one back end is believed to be, and how long a request sent to it now would take.
+// Estimates the load of one back end and the time that a request sent to it now would take.
 //
-// Three sources are joined: what this node has in flight there (exact), what the back end told with
-// its latest answer (ages within a few service times, as other nodes send to it too), and averages
-// over its service.
+// The estimate combines three sources: this node's own requests in flight there (exact), the load
+// reported with the latest answer (outdated after a few service times, because other nodes send to
+// the back end too), and averages over the service.
 #pragma once
 
 #include <cstdint>
@@ -18,16 +18,17 @@
 /// Averages over the answers of all back ends of a service.
 class ServiceAverages {
  public:
-  /// Stands in until a first service time was seen.
+  /// Sets the service time that is used until the first sample.
   void SetPrior(Duration service_time) { prior_ = service_time; }
   void AddServiceTime(Duration service_time);
-  /// `foreign`: requests at the back end that are not this node's.
+  /// `foreign` is the number of requests at the back end that other nodes sent.
   void AddForeign(double foreign, uint32_t slots);
-  /// Told figures count the request that they come with, until one is seen that does not.
+  /// Reported loads are taken to include the request that they are returned with, until a report
+  /// shows that they do not.
   void RecordReport(const ToldLoad& reported);
 
   Duration ServiceTime() const { return known_ ? service_time_ : prior_; }
-  /// Requests of other nodes per slot.
+  /// Returns the average number of requests from other nodes per slot.
   double foreign_per_slot() const { return foreign_per_slot_; }
   bool report_includes_request() const { return report_includes_request_; }
 
@@ -45,39 +46,41 @@
   LoadEstimate(uint32_t slots, ServiceAverages& averages);
 
   void SetSlots(uint32_t slots) { slots_ = slots > 0 ? slots : 1; }
-  /// Slow from its start until then.
+  /// The back end is cold, and hence slow, until `until`.
   void SetColdUntil(Time until) { cold_until_ = until; }
 
   void OnSend(Time now) { in_flight_.push_back(now); }
-  /// The attempt sent at `started` is over, whatever came of it.
+  /// The attempt sent at `started` has ended, with any result.
   void OnEnd(Time started);
-  /// It served a request in `elapsed`. After OnEnd.
+  /// The back end served a request in `elapsed`. Call after OnEnd.
   void OnServed(Duration elapsed, const ToldLoad& reported, Time now);
-  /// It had not served a request after `elapsed`, which then was given up. After OnEnd.
+  /// A request was abandoned after `elapsed` without an answer. Call after OnEnd.
   void OnUnanswered(Duration elapsed, Time now);
-  /// It told its load with another answer. After OnEnd.
+  /// The back end reported its load with an answer of another kind. Call after OnEnd.
   void OnReportedLoad(const ToldLoad& reported, Time now);
-  /// It turned a request away since it is full; `told` may be empty. After OnEnd.
+  /// The back end rejected a request because it is full; `reported` may be empty. Call after OnEnd.
   void OnShed(const ToldLoad& reported, Time now);
 
-  /// Whether it would most likely turn the next request away.
+  /// Returns whether the back end would most likely reject the next request.
   bool Full(Time now) const;
-  /// When Full() is worth another look.
+  /// Returns when Full() should be checked again.
   Time full_until() const { return full_until_; }
 
-  /// Requests running or waiting there.
+  /// Returns the expected number of requests running or queued at the back end.
   double Occupancy(Time now) const;
-  /// How long it works on one request; longer than learned when it is silent for longer.
+  /// Returns the expected time to process one request. It exceeds the smoothed average when a
+  /// request in flight has been unanswered for longer.
   Duration ServiceTime(Time now) const;
-  /// How long a request sent now would wait for a slot, by what was learned.
+  /// Returns the expected time that a request sent now would wait for a slot, based on the smoothed
+  /// service time.
   Duration ExpectedWait(Time now) const;
-  /// Whether fresh knowledge, not averages, says that all its slots are taken.
+  /// Returns whether recent information, rather than averages, shows that all slots are taken.
   bool KnownBusy(Time now) const;
 
   uint32_t in_flight() const { return static_cast<uint32_t>(in_flight_.size()); }
   uint32_t slots() const { return slots_; }
   const ToldLoad& reported() const { return reported_; }
-  /// How old what it told is; infinite when it told nothing.
+  /// Returns the age of the latest load report; infinite when there is none.
   Duration ReportAge(Time now) const { return now - reported_at_; }
 
  private:
@@ -88,7 +91,7 @@
   ServiceAverages& averages_;
   uint32_t slots_;
   Time cold_until_ = absl::InfinitePast();
-  /// When each attempt in flight was sent, oldest first.
+  /// Start times of the attempts in flight, oldest first.
   std::vector<Time> in_flight_;
 
   ToldLoad reported_;
@@ -101,7 +104,7 @@
 
   Time full_until_ = absl::InfinitePast();
   Time limit_until_ = absl::InfinitePast();
-  /// The occupancy at which it turned a request away.
+  /// The occupancy at which the back end rejected a request.
   double limit_ = 0;
 };
 
--- a/src/core/load/outlier_detector.cc
+++ b/src/core/load/outlier_detector.cc
@@ -13,7 +13,7 @@
 constexpr Duration kMaxSuspect = absl::Seconds(5);
 constexpr uint32_t kMaxDoublings = 8;
 
-/// `first`, doubled `times`, at most `longest`.
+/// Returns `first`, doubled `times` times, but no more than `longest`.
 Duration Doubled(Duration first, uint32_t times, Duration longest) {
   return std::min(first * (int64_t{1} << std::min(times, kMaxDoublings)), longest);
 }
--- a/src/core/load/outlier_detector.h
+++ b/src/core/load/outlier_detector.h
@@ -1,4 +1,4 @@
-// Keeps new work away from one back end that fails, for a time that grows while it goes on failing.
+// Ejects a failing back end from new work, for a time that grows with continued failures.
 #pragma once
 
 #include <cstdint>
@@ -8,30 +8,33 @@
 
 namespace ladderstream::load {
 
-/// What this node concluded from its own attempts at one back end. Two grounds are kept apart: it
-/// takes no connections (`unreachable`), or it takes requests and fails them (`suspect`).
+/// State derived from this node's own attempts at one back end. Two conditions are kept apart: the
+/// back end accepts no connections (`unreachable`), or it accepts requests and fails them
+/// (`suspect`).
 class OutlierDetector {
  public:
-  /// Each returns for how long the back end is ejected by it; zero when it is not.
+  /// Each of these returns the ejection time that the event causes; zero when it causes none.
   Duration OnConnectRefused(Time now);
-  /// One lost packet costs this much, so the first time-out in a row ejects nothing.
+  /// A single lost packet can cause a connect timeout, so the first one in a row ejects nothing.
   Duration OnConnectTimeout(Time now);
   Duration OnFailure(Time now);
-  /// Another incarnation answers at its address.
+  /// Another incarnation answers at the address of the back end.
   Duration OnWrongInstance(Time now);
 
   void OnConnected();
-  /// Ends an ejection. What failed before still counts in FailureOdds: a back end that fails half
-  /// of its requests serves the other half.
+  /// Ends an ejection. Earlier failures still count in FailureOdds, because a back end that fails
+  /// half of its requests serves the other half.
   void OnSuccess(Time now);
-  /// Its registration changed.
+  /// Call when the registration of the back end has changed.
   void Reset() { *this = OutlierDetector(); }
 
   bool Unreachable(Time now) const { return now < unreachable_until_; }
   bool Suspect(Time now) const { return now < suspect_until_; }
-  /// See FailureEvidence::Odds; of requests that it took or turned away, not of connections.
+  /// See FailureEvidence::Odds. Counts requests that the back end accepted or rejected, not
+  /// connection attempts.
   double FailureOdds(Time now) const { return evidence_.Odds(now); }
-  /// An owner of keys has no substitute, so it is tried again earlier.
+  /// Returns when an owner of keys is tried again: earlier than other back ends, because an owner
+  /// has no substitute.
   Time owner_unreachable_until() const;
   Time unreachable_until() const { return unreachable_until_; }
 
