--- a/src/core/forwarding/backend_choice.cc
+++ b/src/core/forwarding/backend_choice.cc
@@ -6,16 +6,17 @@
 namespace ladderstream::forwarding {
 namespace {
 
-/// Back ends whose cost exceeds the least by no more than this share of it are about as good.
+/// Back ends whose cost exceeds the minimum by at most this share are considered equally good.
 constexpr double kTieShare = 0.1;
-/// At most this share of the usable back ends, and always one, is ejected for failing requests.
-/// Where more fail, that says more about the way there, or about the requests; and deployments are
-/// made to bear the loss of one zone of three, so two thirds can take over what the rest had.
+/// At most this share of the usable back ends, but at least one, stays ejected for failing
+/// requests. If more fail, the network path or the requests are the more likely cause. Deployments
+/// are sized to survive the loss of one of three zones, so two thirds of the back ends can carry
+/// the full load.
 constexpr double kMaxEjectedShare = 1.0 / 3;
-/// Service times that a failure costs: the request takes its way once more, and often has used up
-/// its time. With 2 in place of 1, back ends that were well again got less (0.05 of the requests
-/// where 0.14 is their share, with 1 it was 0.08) and ill ones hardly less (75 in place of 92 of
-/// 6,700 requests; replay of the unit test ill_back_end, 14 back ends, 20 seeds).
+/// Cost of a failure in service times: the request is sent once more and has often used up its
+/// time. With 2 instead of 1, recovered back ends got 0.05 instead of 0.08 of the requests, where
+/// 0.14 is their fair share, and faulty ones got 75 instead of 92 of 6,700 requests (replay of the
+/// unit test ill_back_end, 14 back ends, 20 seeds).
 constexpr double kFailureCost = 1;
 
 bool Contains(const std::vector<BackendStatePtr>& backends, const BackendStatePtr& backend) {
@@ -24,21 +25,21 @@
 
 }  // namespace
 
-/// What one look at all back ends found besides candidates.
+/// Results of one scan over all back ends, apart from the candidates.
 struct LeastWaitChoice::Scan {
   size_t usable = 0;
   size_t failed = 0;
   std::vector<const BackendStatePtr*> suspects;
-  /// The one that is unreachable for the shortest time, and the one that is full for the shortest.
+  /// The one whose ejection as unreachable ends first, and the one that stops being full first.
   const BackendStatePtr* unreachable = nullptr;
   const BackendStatePtr* full = nullptr;
   const BackendStatePtr* cold = nullptr;
-  /// The one whose rest ends first.
+  /// The one whose back-off ends first.
   const BackendStatePtr* in_backoff = nullptr;
-  /// One with a limit, of which this node may ask for a permit first.
+  /// The rate-limited one for which this node can request a permit first.
   const BackendStatePtr* limited = nullptr;
   Time limited_until = absl::InfiniteFuture();
-  /// One with a limit, for which this node holds a permit.
+  /// A rate-limited one for which this node holds a permit.
   const BackendStatePtr* permitted = nullptr;
 };
 
@@ -68,8 +69,9 @@
     return Explain(scan);
   }
   Choice choice;
-  // Asked for ahead: the back end's rate is there to be used, and its next answer tells when its
-  // limit has ended. A permit that is held would be lost soon.
+  // Request a permit in advance, so that the rate of the back end is used; its next answer also
+  // shows when its limit has ended. A permit already held is used first because it would soon
+  // expire.
   choice.request_permit_for = scan.limited == nullptr ? nullptr : *scan.limited;
   choice.backend = scan.permitted == nullptr ? Draw() : *scan.permitted;
   choice.expected_wait = choice.backend->load.ExpectedWait(context.now);
@@ -85,7 +87,8 @@
     scan.cold = &backend;
     return;
   }
-  // Passed over before all else, so that no way back for ejected ones leads to it.
+  // Check the back-off before all ejections, so that readmitting ejected back ends never selects
+  // one that asked this node to back off.
   if (backend->InBackoff(context.now)) {
     if (scan.in_backoff == nullptr || backend->backoff_until < (*scan.in_backoff)->backoff_until) {
       scan.in_backoff = &backend;
@@ -147,7 +150,8 @@
 void LeastWaitChoice::AddCandidate(const BackendStatePtr& backend, Time now) {
   const Duration service_time = backend->load.ServiceTime(now);
   Duration cost = service_time + backend->load.ExpectedWait(now);
-  // In proportion: one that fails half of its requests is used where the others' queues cost more.
+  // The cost is proportional to the failure odds: a back end that fails half of its requests is
+  // used when the queues of the others cost more.
   cost += kFailureCost * backend->outlier.FailureOdds(now) * service_time;
   if (backend->registration.zone != settings_.zone) {
     cost += settings_.remote_zone_cost * service_time;
--- a/src/core/forwarding/backend_choice.h
+++ b/src/core/forwarding/backend_choice.h
@@ -1,4 +1,4 @@
-// Choosing the back end for one attempt: small policies that can be put around each other.
+// Selection of the back end for one attempt. The policies are small and can be nested.
 #pragma once
 
 #include <optional>
@@ -14,43 +14,43 @@
 
 namespace ladderstream::forwarding {
 
-/// Why no back end can be chosen now.
+/// Why no back end is available now.
 enum class UnavailableReason {
   kNone,
-  /// No back end of the service takes new work.
+  /// No back end of the service accepts new work.
   kNoBackend,
-  /// Those that do have failed this request already.
+  /// All back ends that accept new work have already failed this request.
   kAllTried,
   kAllFull,
-  /// Those that could take it asked this node for rest.
+  /// The remaining back ends asked this node to back off.
   kAllInBackoff,
-  /// Those that could take it named limits, and this node has no permit for any.
+  /// The remaining back ends have rate limits, and this node has no permit for any of them.
   kAllLimited,
-  /// Those that could take it are cold, and it is not this node's turn to send there.
+  /// The remaining back ends are cold, and this node may not send to them now.
   kAllCold,
-  /// The queue is longer than the time left.
+  /// The expected wait in the queue exceeds the time left.
   kOverloaded,
   /// No ownership map is known to be in force.
   kNoMap,
-  /// The map names no owner, or one that is unknown.
+  /// The map names no owner, or an unknown one.
   kNoOwner,
-  /// The owner is draining or gone.
+  /// The owner is draining or deregistered.
   kOwnerLeaving,
-  /// The keys are on their way to the next owner.
+  /// The key is being moved to another owner.
   kMoving,
-  /// The owner of the map in force said that it does not own the key.
+  /// The owner according to the map in force replied that it does not own the key.
   kNotOwner,
   kOwnerUnreachable,
   kOwnerFull,
-  /// The owner asked this node for rest.
+  /// The owner asked this node to back off.
   kOwnerInBackoff,
-  /// The owner named a limit, and this node has no permit.
+  /// The owner has a rate limit, and this node has no permit.
   kOwnerLimited,
-  /// The owner is cold, and it is not this node's turn to send there.
+  /// The owner is cold, and this node may not send to it now.
   kOwnerCold,
 };
 
-/// An assignment that a back end disowned.
+/// An assignment that the back end rejected because it does not own the key.
 struct RejectedAssignment {
   std::string owner;
   ownership::Fence fence = 0;
@@ -58,33 +58,33 @@
 
 struct ChoiceContext {
   const ServiceState& service;
-  /// Sharded services only.
+  /// Set for sharded services only.
   std::optional<ownership::Key> key;
-  /// Back ends that failed this request.
+  /// Back ends that have failed this request.
   const std::vector<BackendStatePtr>& failed;
   const std::optional<RejectedAssignment>& rejected;
-  /// A queue that lasts beyond this is not worth joining.
+  /// The request must get a slot before this time, or it is not worth queueing.
   Time start_by;
   Time now;
 };
 
 struct Choice {
-  /// Null when there is an obstacle.
+  /// Null when no back end is available.
   BackendStatePtr backend;
-  /// Of the assignment, for an owner.
+  /// Fence of the assignment if the back end was chosen as owner.
   ownership::Fence fence = 0;
-  /// How long the request would wait there for a slot.
+  /// Expected time that the request waits there for a slot.
   Duration expected_wait;
   UnavailableReason unavailable_reason = UnavailableReason::kNone;
-  /// The back end that the obstacle is about; may be null.
+  /// The back end to which `unavailable_reason` refers; may be null.
   BackendStatePtr blocking_backend;
-  /// When another look is worth it, unless something changes before.
+  /// When to choose again if no event triggers it earlier.
   Time retry_at = absl::InfiniteFuture();
-  /// The limit that is the obstacle.
+  /// The rate limit, when it is the reason.
   std::optional<allowance::LimitRecord> limit;
-  /// A back end with a limit for which a permit is to be asked; may be null.
+  /// A rate-limited back end for which to request a permit; may be null.
   BackendStatePtr request_permit_for;
-  /// Whether the obstacle may vanish within a short time.
+  /// Whether the reason may cease to apply within a short time.
   bool transient = false;
 };
 
@@ -94,12 +94,12 @@
   virtual Choice Choose(const ChoiceContext& context) = 0;
 };
 
-/// For services whose back ends are all alike: the one where an answer is expected first, drawn at
-/// random among those that are about as good, so that nodes that know the same do not all go to
-/// the same one. The own zone goes first where that costs no waiting.
+/// For services whose back ends are interchangeable. Picks at random among the back ends with about
+/// the earliest expected answer, so that nodes with the same information do not all choose the same
+/// one. Prefers the own zone unless that costs waiting time.
 class LeastWaitChoice : public BackendChoice {
  public:
-  /// All must outlive the choice.
+  /// All arguments must outlive the choice.
   LeastWaitChoice(const DispatcherSettings& settings, const allowance::ColdSenders& cold_senders,
                   const allowance::SharedRates& rates, std::mt19937_64& random)
       : settings_(settings), cold_senders_(cold_senders), rates_(rates), random_(random) {}
@@ -114,7 +114,7 @@
   struct Scan;
 
   void Examine(const BackendStatePtr& backend, const ChoiceContext& context, Scan& scan);
-  /// Takes the least ill of the ejected back ends back in when too many are ejected.
+  /// Readmits the ejected back ends with the lowest failure odds when too many are ejected.
   void ReadmitSuspects(Scan& scan, Time now);
   void AddCandidate(const BackendStatePtr& backend, Time now);
   const BackendStatePtr& Draw();
@@ -124,14 +124,14 @@
   const allowance::ColdSenders& cold_senders_;
   const allowance::SharedRates& rates_;
   std::mt19937_64& random_;
-  /// Of the choice being made; kept for its memory.
+  /// Candidates of the current choice; a member to reuse its memory.
   std::vector<Candidate> candidates_;
 };
 
-/// Whether this node may send to `backend` now, as far as its being cold goes.
+/// Returns whether the cold-start limits allow this node to send to `backend` now.
 bool MaySendWhileCold(const BackendState& backend, const allowance::ColdSenders& senders, Time now);
 
-/// Refuses at once what `inner` would send into a queue that lasts too long.
+/// Refuses a request at once if the queue at the back end chosen by `inner` would outlast its time.
 class OverloadGuard : public BackendChoice {
  public:
   /// `inner` must outlive the guard.
--- a/src/core/forwarding/owner_choice.h
+++ b/src/core/forwarding/owner_choice.h
@@ -1,4 +1,4 @@
-// Choosing the back end of a request of a sharded service: the owner of its key.
+// Selection of the back end for a request of a sharded service: the owner of its key.
 #pragma once
 
 #include <memory>
@@ -9,17 +9,17 @@
 
 namespace ladderstream::forwarding {
 
-/// The newest ownership map, and until when it may be used.
+/// The latest ownership map and the time until which it may be used.
 class OwnershipView {
  public:
-  /// Older maps than the one in force are ignored. Null: none is known any more.
+  /// Ignores maps older than the one in force. Null means that no map is known any more.
   void SetMap(std::shared_ptr<const ownership::OwnershipMap> map);
   void SetConfirmed(Time until) { confirmed_until_ = until; }
 
   bool Confirmed(Time now) const { return map_ != nullptr && now < confirmed_until_; }
-  /// Null when the map does not hold the service, or there is no map.
+  /// Returns null when the map does not contain the service, or there is no map.
   const ownership::ServiceOwnership* Find(const std::string& service) const;
-  /// Null when there is no map.
+  /// Returns null when there is no map.
   const ownership::OwnershipMap* map() const { return map_.get(); }
 
  private:
@@ -27,10 +27,10 @@
   Time confirmed_until_ = absl::InfinitePast();
 };
 
-/// The owner by the map in force. There is no second choice: a key has one owner.
+/// Chooses the owner according to the map in force. There is no alternative: a key has one owner.
 class OwnerChoice : public BackendChoice {
  public:
-  /// All must outlive the choice.
+  /// All arguments must outlive the choice.
   OwnerChoice(const OwnershipView& ownership, const ServiceTable& services,
               const allowance::ColdSenders& cold_senders, const allowance::SharedRates& rates,
               bool limit_owners)
--- a/src/core/forwarding/service_table.cc
+++ b/src/core/forwarding/service_table.cc
@@ -11,27 +11,27 @@
 namespace ladderstream::forwarding {
 namespace {
 
-/// A back end that disappeared is forgotten after this.
+/// A deregistered back end is removed after this time.
 constexpr Duration kRetention = absl::Seconds(30);
-/// One that had said itself that it leaves is remembered for longer, since its registration may
-/// come back after a long outage of the store and says nothing of it.
+/// A back end that announced its shutdown is retained for longer: its registration may reappear
+/// after a long outage of the store, without the announcement.
 constexpr Duration kLeavingRetention = absl::Minutes(10);
-/// A request reaches the back end chosen for it within this: the way between zones, and room for a
-/// packet that is sent again, or for a loop that is behind. A connection that is not up when the
-/// back end may no longer be used carries nothing.
+/// Upper bound on the time for a request to reach the chosen back end: latency between zones, plus
+/// a margin for a retransmitted packet or a delayed event loop. A connection that is not
+/// established by the time the back end may no longer be used carries no request.
 constexpr Duration kTransitReserve = absl::Milliseconds(200);
-/// An outage of the store lets nearly all registrations lapse together; a release or a scale-in
-/// takes a few at a time.
+/// An outage of the store lets nearly all registrations expire together; a release or a scale-in
+/// removes a few at a time.
 constexpr double kMassExpiryShare = 1.0 / 3;
-/// No back end is left alone for longer by its own word, so that a wrong one (seconds that were
-/// meant as milliseconds, say) does not end its use for good.
+/// Upper bound on a requested back-off, so that a wrong value (for example seconds meant as
+/// milliseconds) does not disable the back end for good.
 constexpr Duration kMaxBackoff = absl::Hours(1);
-/// The level of admission is told no more often than this for a service.
+/// Minimum interval between reports of the admission level of a service.
 constexpr Duration kLevelReportInterval = absl::Seconds(1);
-/// More beliefs than this are not kept until the next TakeBeliefs.
+/// Maximum number of state changes kept until the next TakeBeliefs; further ones are dropped.
 constexpr size_t kMaxStateChanges = 1000;
 
-/// Fewer than this are put in their places one by one; more are merged.
+/// Up to this many new back ends are inserted one by one; more are merged.
 constexpr size_t kMaxSingleInserts = 16;
 
 const char* NameOfState(const catalog::Backend& backend) {
@@ -41,11 +41,11 @@
   return backend.evacuated ? "evacuated" : "ready";
 }
 
-/// How long ago it may have changed, for a belief's detail.
+/// Returns the maximum age of the change, as text for the detail of a state change.
 std::string AgeOf(const RegistrationNews& news, Time now) {
   const Duration age = now - news.changed_after;
   return age == absl::InfiniteDuration()
-             ? ", nothing tells when"
+             ? ", time of the change unknown"
              : absl::StrCat(", at most ", absl::ToInt64Milliseconds(age), " ms ago");
 }
 
@@ -97,7 +97,7 @@
   auto state = std::make_shared<BackendState>(backend, Service(backend.service).averages);
   state->load.SetColdUntil(backend.cold_until);
   if (backend.Leaves()) {
-    // It may have been leaving for long.
+    // The back end may have been leaving for a long time.
     state->usable_until = absl::InfinitePast();
     state->owner_usable_until = absl::InfinitePast();
   }
@@ -119,14 +119,15 @@
   registrations_examined_ += known->second.size();
   for (const BackendStatePtr& earlier : known->second) {
     StopNewWork(absl::InfinitePast(), absl::InfinitePast(), *earlier);
-    AddStateChange(*earlier, "ended", absl::StrCat(backend.id, " has started in its place"));
+    AddStateChange(*earlier, "ended", absl::StrCat(backend.id, " has replaced it"));
   }
 }
 
 void ServiceTable::Update(const catalog::Backend& backend, const RegistrationNews& news,
                           BackendState& state, Time now) {
   catalog::Backend previous = std::exchange(state.registration, backend);
-  // What it said itself is newer than what its registration says through the store.
+  // What the back end reported itself is more recent than its registration, which comes through the
+  // store.
   const Time cold_until = std::max(backend.cold_until, state.reported_cold_until);
   state.registration.cold_until = cold_until;
   state.load.SetColdUntil(cold_until);
@@ -145,8 +146,8 @@
   state.load.SetSlots(backend.slots);
   state.outlier.Reset();
   if (!backend.Leaves()) {
-    // A registration that is late, or back after an outage of the store, takes back nothing that
-    // the back end itself has said.
+    // A registration that is delayed, or that reappears after an outage of the store, does not
+    // revoke what the back end itself has announced.
     if (!state.reported_leaving) {
       state.usable_until = absl::InfiniteFuture();
       state.owner_usable_until = absl::InfiniteFuture();
@@ -154,12 +155,13 @@
     AddStateChange(state, was_serving ? "changed" : "returned", FormatEndpoint(backend.address));
     return;
   }
-  // What is allowed from hearing on would add up with how late that was.
+  // Count from the time of the change where that is known: grace times that start on receipt would
+  // add up with the delay of the update.
   if (backend.draining) {
     const Time last = news.changed_after + settings_.drain_time - kTransitReserve;
     StopNewWork(std::min(now + settings_.drain_grace, last),
                 std::min(now + settings_.drain_serving, last), state);
-    AddStateChange(state, "draining", absl::StrCat("its registration says so", AgeOf(news, now)));
+    AddStateChange(state, "draining", absl::StrCat("marked in its registration", AgeOf(news, now)));
   } else {
     const Time last = news.changed_after + settings_.evacuation_time - kTransitReserve;
     StopNewWork(now, std::min(now + settings_.evacuation_serving, last), state);
@@ -175,8 +177,9 @@
   }
   state.registration.cold_until = until;
   state.load.SetColdUntil(until);
-  AddStateChange(state, "cold",
-                 absl::StrCat("for ", absl::FormatDuration(time_left), ", as it says"));
+  AddStateChange(
+      state, "cold",
+      absl::StrCat("for ", absl::FormatDuration(time_left), ", reported by the back end"));
 }
 
 void ServiceTable::RecordLeaving(BackendState& state, Time now) {
@@ -186,7 +189,7 @@
   const Time last = now + settings_.drain_time - kTransitReserve;
   StopNewWork(std::min(now + settings_.drain_grace, last),
               std::min(now + settings_.drain_serving, last), state);
-  AddStateChange(state, "draining", "it says so with its answers");
+  AddStateChange(state, "draining", "announced in its answers");
 }
 
 void ServiceTable::RecordBackoff(Duration time, BackendState& state, Time now) {
@@ -194,12 +197,12 @@
   if (until <= state.backoff_until) {
     return;
   }
-  // Answers to requests that were under way together ask for the same rest: told once.
+  // Concurrent requests are answered with the same back-off; report it once.
   if (!state.InBackoff(now)) {
     AddStateChange(
         state, "resting",
-        absl::StrCat("asked for ", absl::FormatDuration(time),
-                     time > kMaxBackoff ? ", which is cut" : "", ", at ",
+        absl::StrCat("requested a back-off of ", absl::FormatDuration(time),
+                     time > kMaxBackoff ? ", shortened to the maximum" : "", ", at ",
                      state.load.reported().running, " running and ", state.load.reported().waiting,
                      " waiting of ", state.load.slots(), " slots"));
   }
@@ -216,10 +219,10 @@
                                      : news.changed_after + settings_.drain_time - kTransitReserve;
   StopNewWork(std::min(now + grace, last),
               std::min(now + std::max(settings_.drain_serving, grace), last), state);
-  AddStateChange(
-      state, "gone",
-      absl::StrCat("its registration disappeared",
-                   news.store_troubled ? " while the store was troubled" : "", AgeOf(news, now)));
+  AddStateChange(state, "gone",
+                 absl::StrCat("its registration disappeared",
+                              news.store_troubled ? " while the store was unavailable or slow" : "",
+                              AgeOf(news, now)));
 }
 
 void ServiceTable::List(const std::vector<BackendStatePtr>& added) {
@@ -324,11 +327,11 @@
   service.reported_level = level;
   service.level_reported_at = now;
   const bool limited = level != admission::ServiceAdmission::kNoLevel;
-  std::string detail = absl::StrFormat("queues last %.0f ms",
+  std::string detail = absl::StrFormat("queueing delay %.0f ms",
                                        absl::ToDoubleMilliseconds(service.admission.Delay(now)));
   if (limited) {
-    absl::StrAppendFormat(&detail, ", %.2f is let through, rank %u gets %.2f",
-                          service.admission.share(), level, service.admission.ShareOf(level));
+    absl::StrAppendFormat(&detail, ", %.2f admitted, of rank %u %.2f", service.admission.share(),
+                          level, service.admission.ShareOf(level));
   }
   state_changes_.push_back({service.name, limited ? "limited" : "unlimited", std::move(detail)});
 }
--- a/src/core/forwarding/service_table.h
+++ b/src/core/forwarding/service_table.h
@@ -1,4 +1,4 @@
-// All services and back ends that this node knows, kept in step with the registrations.
+// All services and back ends known to this node, updated with the registrations.
 #pragma once
 
 #include <absl/container/flat_hash_map.h>
@@ -17,7 +17,7 @@
 
 namespace ladderstream::forwarding {
 
-/// What one service's requests share. Outlives its registrations.
+/// State shared by the requests of one service. Outlives the registrations of its back ends.
 struct ServiceState {
   explicit ServiceState(const DispatcherSettings& settings) : admission(settings.admission_floor) {}
 
@@ -27,7 +27,7 @@
   load::LoadCounter load;
   admission::WaitQueue waiting;
   admission::ServiceAdmission admission;
-  /// What was last told of its level, and when.
+  /// The admission level in the latest state change reported, and the time of that report.
   uint32_t reported_level = admission::ServiceAdmission::kNoLevel;
   Time level_reported_at = absl::InfinitePast();
   std::vector<BackendStatePtr> backends;
@@ -42,54 +42,57 @@
   void ChangeBackends(const catalog::BackendChanges& changes, const RegistrationNews& news,
                       Time now);
 
-  /// The back end itself said that it is cold for `time_left` from now on.
+  /// Records that the back end itself reported to be cold for `time_left` from now on.
   void RecordCold(Duration time_left, BackendState& state, Time now);
-  /// The back end itself asked this node to send it nothing for `time` from now on.
+  /// Records that the back end itself asked this node to send it nothing for `time` from now on.
   void RecordBackoff(Duration time, BackendState& state, Time now);
-  /// The back end itself said that it is about to end.
+  /// Records that the back end itself announced its shutdown.
   void RecordLeaving(BackendState& state, Time now);
-  /// The state of a service, made when it is not known yet. Stays where it is.
+  /// Returns the state of a service, which is created if it is unknown. The reference stays valid.
   ServiceState& Service(const std::string& name);
-  /// Null when no such service is known.
+  /// Returns null when no such service is known.
   const ServiceState* FindService(const std::string& name) const;
-  /// Null when no such back end is known; also finds those that disappeared a short time ago.
+  /// Returns null when no such back end is known. Also finds back ends deregistered a short time
+  /// ago.
   BackendStatePtr FindBackend(const std::string& id) const;
 
   std::vector<ServiceState*> Services();
-  /// Back ends looked at by all changes of registrations so far.
+  /// Returns the number of back ends examined by all registration changes so far.
   uint64_t registrations_examined() const { return registrations_examined_; }
   std::vector<BackendBelief> TakeBeliefs();
   void AddStateChange(const BackendState& backend, std::string event, std::string detail);
-  /// Tells when another rank of the service begins to be turned away; not with every wave.
+  /// Reports a change of the lowest rank that is turned away. Rate-limited, so that short waves are
+  /// not reported.
   void RecordAdmissionLevel(ServiceState& service, Time now);
 
  private:
   BackendStatePtr Register(const catalog::Backend& backend);
-  /// `backend` proves that earlier incarnations of it have ended.
+  /// Ends earlier incarnations: the registration of `backend` proves that they have stopped.
   void EndEarlierIncarnations(const catalog::Backend& backend);
   void Update(const catalog::Backend& backend, const RegistrationNews& news, BackendState& state,
               Time now);
-  /// `may_have_expired`: so many went at once that the store may have lost them by mistake.
+  /// `may_have_expired` is true when so many registrations disappeared at once that the store may
+  /// have lost them by mistake.
   void MarkDeregistered(const RegistrationNews& news, bool may_have_expired, BackendState& state,
                         Time now);
-  /// Puts the new ones into the lists of their services.
+  /// Adds the new back ends to the lists of their services.
   void List(const std::vector<BackendStatePtr>& added);
-  /// Drops back ends that disappeared long ago.
+  /// Removes back ends whose retention time has passed.
   void RemoveExpired(Time now);
-  /// When a back end that is gone is forgotten.
+  /// Returns the time until which a deregistered back end is retained.
   static Time RetainedUntil(const BackendState& state);
   void Remove(const BackendStatePtr& state);
-  /// Takes it out of its service's list.
+  /// Removes the back end from the list of its service.
   void Unlist(const BackendStatePtr& state);
 
   const DispatcherSettings& settings_;
   absl::flat_hash_map<std::string, std::unique_ptr<ServiceState>> services_;
   absl::flat_hash_map<std::string, BackendStatePtr> backends_;
-  /// The incarnations in `backends_` of each back end, by the name that it gives itself.
+  /// The incarnations in `backends_` of each back end, keyed by the instance name that it chose.
   absl::flat_hash_map<std::string, std::vector<BackendStatePtr>> incarnations_;
   size_t registered_count_ = 0;
-  /// Those in `backends_` that are not registered, by when to look whether they are forgotten;
-  /// some also that are registered again.
+  /// The deregistered back ends in `backends_`, by the time of the next check for removal. May
+  /// contain some that have registered again.
   std::multimap<Time, BackendStatePtr> deregistered_;
   std::vector<BackendBelief> state_changes_;
   uint64_t registrations_examined_ = 0;
--- a/src/core/load/load_estimate.h
+++ b/src/core/load/load_estimate.h
@@ -56,7 +56,7 @@
   void OnServed(Duration elapsed, const ToldLoad& reported, Time now);
   /// A request was abandoned after `elapsed` without an answer. Call after OnEnd.
   void OnUnanswered(Duration elapsed, Time now);
-  /// The back end reported its load with an answer of another kind. Call after OnEnd.
+  /// The back end reported its load with any other answer. Call after OnEnd.
   void OnReportedLoad(const ToldLoad& reported, Time now);
   /// The back end rejected a request because it is full; `reported` may be empty. Call after OnEnd.
   void OnShed(const ToldLoad& reported, Time now);
