--- a/src/core/forwarding/service_table.cc
+++ b/src/core/forwarding/service_table.cc
@@ -155,8 +155,8 @@
     AddStateChange(state, was_serving ? "changed" : "returned", FormatEndpoint(backend.address));
     return;
   }
-  // Count from the time of the change where that is known: grace times that start on receipt would
-  // add up with the delay of the update.
+  // The grace times start on receipt of the update; the time of the change bounds them, so that a
+  // late update does not extend them.
   if (backend.draining) {
     const Time last = news.changed_after + settings_.drain_time - kTransitReserve;
     StopNewWork(std::min(now + settings_.drain_grace, last),
@@ -330,7 +330,7 @@
   std::string detail = absl::StrFormat("queueing delay %.0f ms",
                                        absl::ToDoubleMilliseconds(service.admission.Delay(now)));
   if (limited) {
-    absl::StrAppendFormat(&detail, ", %.2f admitted, of rank %u %.2f", service.admission.share(),
+    absl::StrAppendFormat(&detail, ", %.2f admitted, rank %u gets %.2f", service.admission.share(),
                           level, service.admission.ShareOf(level));
   }
   state_changes_.push_back({service.name, limited ? "limited" : "unlimited", std::move(detail)});
--- a/src/core/forwarding/service_table.h
+++ b/src/core/forwarding/service_table.h
@@ -61,8 +61,8 @@
   uint64_t registrations_examined() const { return registrations_examined_; }
   std::vector<BackendBelief> TakeBeliefs();
   void AddStateChange(const BackendState& backend, std::string event, std::string detail);
-  /// Reports a change of the lowest rank that is turned away. Rate-limited, so that short waves are
-  /// not reported.
+  /// Reports a change of the rank at which requests begin to be turned away. Rate-limited, so that
+  /// not every wave of requests is reported.
   void RecordAdmissionLevel(ServiceState& service, Time now);
 
  private:
--- a/tests/unit/forwarding/choice_test.cc
+++ b/tests/unit/forwarding/choice_test.cc
@@ -1,4 +1,4 @@
-// Which back end gets a request that any back end of its service may run.
+// Tests the choice among the interchangeable back ends of a service.
 #include <boost/test/unit_test.hpp>
 #include <map>
 #include <set>
@@ -18,7 +18,7 @@
     return settings;
   }
 
-  /// Serves one request at a time; returns how many each back end got.
+  /// Serves one request at a time; returns the number of requests per back end.
   std::map<std::string, int> Serve(int requests) {
     std::map<std::string, int> counts;
     for (int i = 0; i < requests; ++i) {
@@ -42,7 +42,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(choice, Fleet)
 
-BOOST_AUTO_TEST_CASE(nodes_that_know_nothing_do_not_all_go_to_one_back_end) {
+BOOST_AUTO_TEST_CASE(new_nodes_spread_over_all_back_ends) {
   std::map<std::string, int> counts;
   for (uint64_t seed = 0; seed < 40; ++seed) {
     DispatcherSettings settings = DefaultSettings();
@@ -57,7 +57,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(own_zone_goes_first_until_it_costs_waiting) {
+BOOST_AUTO_TEST_CASE(own_zone_is_preferred_until_it_costs_waiting) {
   AddBackends("cards", {"c-1", "c-2"});
   catalog::Backend remote = MakeBackend("r-1", "cards");
   remote.zone = "b";
@@ -73,7 +73,7 @@
   BOOST_TEST(std::count(order.begin(), order.end(), "r-1") >= 1);
 }
 
-BOOST_AUTO_TEST_CASE(slow_back_end_gets_less) {
+BOOST_AUTO_TEST_CASE(slow_back_end_gets_fewer_requests) {
   AddBackends("cards", {"c-1", "c-2", "c-3"});
   slow = "c-2";
   const auto counts = Serve(60);
@@ -82,7 +82,7 @@
   BOOST_TEST(counts.at("c-3") > 15);
 }
 
-BOOST_AUTO_TEST_CASE(cold_back_end_gets_less_until_it_is_warm) {
+BOOST_AUTO_TEST_CASE(cold_back_end_gets_fewer_requests_until_it_is_warm) {
   AddBackends("cards", {"c-1"});
   Serve(10);
   catalog::Backend cold = MakeBackend("c-2", "cards");
@@ -93,7 +93,7 @@
   BOOST_TEST(Serve(20)["c-2"] > 3);
 }
 
-BOOST_AUTO_TEST_CASE(told_queue_keeps_requests_away_while_it_is_fresh) {
+BOOST_AUTO_TEST_CASE(recently_reported_queue_diverts_requests) {
   AddBackends("cards", {"c-1", "c-2"});
   Serve(10);
   const SendDecision send = StartAndSend("/cards/1");
@@ -105,7 +105,7 @@
   BOOST_TEST(StartAndSend("/cards/1").backend != send.backend);
 }
 
-BOOST_AUTO_TEST_CASE(refusing_connections_ejects_for_a_time_that_grows) {
+BOOST_AUTO_TEST_CASE(refused_connection_ejects_the_back_end) {
   AddBackends("cards", {"c-1", "c-2", "c-3"});
   const SendDecision first = StartAndSend("/cards/1");
   Fail(first, AttemptFailure::kConnectRefused);
@@ -120,7 +120,7 @@
   BOOST_TEST(ejected);
 }
 
-BOOST_AUTO_TEST_CASE(ejections_grow_while_failures_go_on) {
+BOOST_AUTO_TEST_CASE(ejection_time_grows_with_continued_failures) {
   load::OutlierDetector detector;
   for (const int expected : {100, 200, 400, 800, 1600, 2000, 2000}) {
     BOOST_TEST((detector.OnConnectRefused(now) == absl::Milliseconds(expected)));
@@ -139,7 +139,7 @@
   BOOST_TEST((detector.OnFailure(now) == absl::ZeroDuration()));
 }
 
-BOOST_AUTO_TEST_CASE(only_a_real_change_of_the_registration_ends_an_ejection) {
+BOOST_AUTO_TEST_CASE(only_a_relevant_registration_change_ends_an_ejection) {
   AddBackends("cards", {"c-1", "c-2"});
   const SendDecision first = StartAndSend("/cards/1");
   Fail(first, AttemptFailure::kConnectRefused);
@@ -156,7 +156,7 @@
   BOOST_TEST(StartAndSend("/cards/1").backend == first.backend);
 }
 
-BOOST_AUTO_TEST_CASE(failing_back_end_is_ejected_but_never_more_than_half) {
+BOOST_AUTO_TEST_CASE(failing_back_ends_are_ejected_up_to_a_maximum_share) {
   AddBackends("cards", {"c-1", "c-2", "c-3", "c-4"});
   std::set<std::string> bad = {"c-1"};
   std::map<std::string, int> reached;
@@ -180,7 +180,7 @@
   BOOST_TEST(reached["c-4"] < 30);
 }
 
-BOOST_AUTO_TEST_CASE(back_end_that_refuses_with_free_slots_is_ejected) {
+BOOST_AUTO_TEST_CASE(back_end_that_rejects_with_free_slots_is_ejected) {
   AddBackends("cards", {"c-1", "c-2", "c-3"});
   int refused = 0;
   for (int i = 0; i < 60; ++i) {
@@ -199,7 +199,7 @@
   BOOST_TEST(refused < 10);
 }
 
-BOOST_AUTO_TEST_CASE(another_instance_at_the_address_ejects) {
+BOOST_AUTO_TEST_CASE(wrong_instance_at_the_address_ejects_the_back_end) {
   AddBackends("cards", {"c-1", "c-2"});
   const SendDecision first = StartAndSend("/cards/1");
   Sent(first);
--- a/tests/unit/forwarding/cold_test.cc
+++ b/tests/unit/forwarding/cold_test.cc
@@ -1,5 +1,5 @@
-// Back ends that are cold get only what all nodes together may send them; those of evacuated zones
-// get nothing.
+// Tests that cold back ends get no more than the total allowed for all nodes, and that back ends of
+// evacuated zones get no new requests.
 #include <absl/strings/str_cat.h>
 
 #include <boost/test/unit_test.hpp>
@@ -22,8 +22,8 @@
 struct Fixture : DispatcherHarness {
   Fixture() : DispatcherHarness(Settings()) {}
 
-  /// This node has known for long that these take part.
-  void BeMemberOf(const std::vector<uint64_t>& members) {
+  /// Sets the members; this node has known them for long enough.
+  void SetMembers(const std::vector<uint64_t>& members) {
     dispatcher.SetMembers(members, now);
     dispatcher.SetMembersConfirmed(absl::InfiniteFuture());
     Advance(absl::Seconds(5));
@@ -34,7 +34,7 @@
     cold.cold_requests_per_second = 4.2;
     AddBackend(cold);
   }
-  /// How many of `requests`, one each 10 ms, are sent to `backend`.
+  /// Starts `requests` requests, one every 10 ms, and returns how many are sent to `backend`.
   int CountSends(const std::string& target, const std::string& backend, int requests,
                  std::optional<ownership::Key> key = std::nullopt) {
     int count = 0;
@@ -54,15 +54,15 @@
 
 BOOST_FIXTURE_TEST_SUITE(cold, Fixture)
 
-BOOST_AUTO_TEST_CASE(a_sender_spaces_its_requests_to_a_cold_back_end) {
-  BeMemberOf({kNode});
+BOOST_AUTO_TEST_CASE(sender_spaces_requests_to_a_cold_back_end) {
+  SetMembers({kNode});
   AddCold("c-1", "cards", absl::Seconds(4));
   const int sent = CountSends("/cards/1", "c-1", 300);
   BOOST_TEST(sent >= 4);
   BOOST_TEST(sent <= 5);
 }
 
-BOOST_AUTO_TEST_CASE(who_is_not_known_to_take_part_sends_nothing_to_a_cold_back_end) {
+BOOST_AUTO_TEST_CASE(node_without_confirmed_membership_sends_nothing_to_a_cold_back_end) {
   AddCold("c-1", "cards", absl::Seconds(2));
   BOOST_TEST(CountSends("/cards/1", "c-1", 100) == 0);
   Start("/cards/1");
@@ -73,8 +73,8 @@
   BOOST_TEST(CountSends("/cards/1", "c-1", 10) == 10);
 }
 
-BOOST_AUTO_TEST_CASE(warm_back_ends_take_what_cold_ones_do_not) {
-  BeMemberOf({1, 2, 3, 4, 5, 6, kNode});
+BOOST_AUTO_TEST_CASE(warm_back_ends_take_the_load_of_cold_ones) {
+  SetMembers({1, 2, 3, 4, 5, 6, kNode});
   AddBackends("cards", {"c-1"});
   for (int i = 2; i < 8; ++i) {
     AddCold(absl::StrCat("c-", i), "cards", absl::Seconds(4));
@@ -82,9 +82,10 @@
   BOOST_TEST(CountSends("/cards/1", "c-1", 100) > 50);
 }
 
-// Found on the users' bench: 16 requests in a second, of 74 nodes, where 14.3 are allowed.
-BOOST_AUTO_TEST_CASE(a_cold_owner_gets_no_more_than_a_cold_back_end) {
-  BeMemberOf({kNode});
+// Owners must respect the cold-start limit too: without it, 74 nodes sent 16 requests in one second
+// where 14.3 are allowed.
+BOOST_AUTO_TEST_CASE(cold_owner_is_limited_like_a_cold_back_end) {
+  SetMembers({kNode});
   AddCold("s-1", "scripts", absl::Seconds(4));
   Own("s-1");
   BOOST_TEST(CountSends("/scripts/1", "s-1", 300, 77) <= 5);
@@ -92,8 +93,8 @@
   BOOST_TEST((Only<AnswerDecision>().code == ResultCode::kOverloaded));
 }
 
-BOOST_AUTO_TEST_CASE(a_back_end_that_says_itself_that_it_is_cold_is_believed) {
-  BeMemberOf({1, 2});
+BOOST_AUTO_TEST_CASE(cold_state_reported_by_the_back_end_is_respected) {
+  SetMembers({1, 2});
   catalog::Backend backend = MakeBackend("c-1", "cards");
   backend.cold_requests_per_second = 4.2;
   AddBackend(backend);
@@ -104,14 +105,14 @@
   answer.cold_left = absl::Seconds(1);
   dispatcher.OnAttemptAnswer(send.attempt, answer, now);
   Only<RelayDecision>();
-  // Its registration, which comes through the store, may say less for a while.
+  // The registration comes through the store and may lag behind what the back end reports.
   AddBackends("books", {"b-1"});
   BOOST_TEST(CountSends("/cards/1", "c-1", 50) == 0);
   Advance(absl::Seconds(1));
   BOOST_TEST(CountSends("/cards/1", "c-1", 5) == 5);
 }
 
-BOOST_AUTO_TEST_CASE(the_back_ends_of_an_evacuated_zone_get_nothing) {
+BOOST_AUTO_TEST_CASE(back_ends_of_an_evacuated_zone_get_no_requests) {
   AddBackends("cards", {"c-1", "c-2"});
   catalog::Backend left = MakeBackend("c-1", "cards");
   left.evacuated = true;
@@ -124,7 +125,7 @@
   BOOST_TEST(CountSends("/cards/1", "c-1", 50) > 0);
 }
 
-BOOST_AUTO_TEST_CASE(an_owner_in_an_evacuated_zone_serves_its_keys_for_a_while) {
+BOOST_AUTO_TEST_CASE(owner_in_an_evacuated_zone_serves_its_keys_for_a_limited_time) {
   AddBackends("scripts", {"s-1"});
   Own("s-1");
   catalog::Backend left = MakeBackend("s-1", "scripts");
@@ -137,7 +138,7 @@
   BOOST_TEST(All<SendDecision>().empty());
 }
 
-BOOST_AUTO_TEST_CASE(a_request_that_waits_is_not_sent_into_an_evacuated_zone) {
+BOOST_AUTO_TEST_CASE(waiting_request_is_not_sent_to_an_evacuated_zone) {
   AddBackends("books", {"b-1"});
   const SendDecision first = StartAndSend("/books/1");
   Sent(first);
@@ -150,8 +151,8 @@
   BOOST_TEST(Only<AnswerDecision>().status == 503);
 }
 
-// A node that starts during an evacuation does not know how long it has lasted.
-BOOST_AUTO_TEST_CASE(a_back_end_first_seen_in_an_evacuated_zone_gets_nothing) {
+// A node that starts during an evacuation does not know how long the evacuation has lasted.
+BOOST_AUTO_TEST_CASE(back_end_first_seen_in_an_evacuated_zone_gets_no_requests) {
   catalog::Backend left = MakeBackend("s-1", "scripts");
   left.evacuated = true;
   AddBackend(left);
--- a/tests/unit/forwarding/ill_back_end_replay.cc
+++ b/tests/unit/forwarding/ill_back_end_replay.cc
@@ -8,8 +8,8 @@
 namespace ladderstream::forwarding {
 namespace {
 
-constexpr Duration kRejectionTime = absl::Milliseconds(2);
-constexpr int kSlowdown = 8;
+constexpr Duration kTimeToReject = absl::Milliseconds(2);
+constexpr int kSlowdownFactor = 8;
 
 class FaultyFleet {
  public:
@@ -27,7 +27,7 @@
     if (scenario.service == "scripts") {
       harness_.Own(ids.front());
     }
-    harness_.after_tick = [this] { TakeDecisions(); };
+    harness_.after_tick = [this] { HandleDecisions(); };
     start_ = harness_.now;
   }
 
@@ -42,7 +42,7 @@
       }
       harness_.Advance(next_request - harness_.now);
       StartRequest();
-      // Exponential gaps: what meets by chance meets here, too.
+      // Exponential gaps, so that requests also arrive in bursts by chance.
       std::exponential_distribution<double> gap(1);
       next_request += scenario_.between_requests * gap(random_);
     }
@@ -76,10 +76,10 @@
       counted_.insert(handle);
       ++outcome_.requests;
     }
-    TakeDecisions();
+    HandleDecisions();
   }
 
-  void TakeDecisions() {
+  void HandleDecisions() {
     for (auto decisions = harness_.dispatcher.TakeDecisions(); !decisions.empty();
          decisions = harness_.dispatcher.TakeDecisions()) {
       for (const RequestDecision& decision : decisions) {
@@ -123,11 +123,11 @@
     Duration time =
         scenario_.service_time * std::uniform_real_distribution<double>(0.7, 1.3)(random_);
     if (fails && scenario_.fault == FaultKind::kSlow) {
-      time *= kSlowdown;
+      time *= kSlowdownFactor;
     } else if (fails && scenario_.fault == FaultKind::kHangs) {
       time = send.answer_by - harness_.now;
     } else if (fails) {
-      time = kRejectionTime;
+      time = kTimeToReject;
     }
     answers_.emplace(harness_.now + time, Arrived{send, fails});
   }
@@ -159,7 +159,7 @@
     } else {
       harness_.Fail(send, AttemptFailure::kTimedOut);
     }
-    TakeDecisions();
+    HandleDecisions();
     error_ = false;
   }
 
@@ -167,10 +167,10 @@
   DispatcherHarness harness_;
   std::mt19937_64 random_;
   Time start_;
-  /// Ends of attempts by the time they come.
+  /// Attempts in flight, by the time at which they end.
   std::multimap<Time, Arrived> answers_;
   std::unordered_set<RequestHandle> counted_;
-  /// The answer passed on at this moment is a back end's own error.
+  /// Whether the answer being relayed is an application error of a back end.
   bool error_ = false;
   int late_ = 0;
   int late_at_faulty_ = 0;
--- a/tests/unit/forwarding/ill_back_end_replay.h
+++ b/tests/unit/forwarding/ill_back_end_replay.h
@@ -1,5 +1,5 @@
-// Plays a steady load against back ends of which some are ill, on simulated time, and counts what
-// became of the requests and how often they were sent again.
+// Simulates a steady load on back ends of which some are faulty, and counts the results and retries
+// of the requests.
 #pragma once
 
 #include <map>
@@ -11,19 +11,19 @@
 
 namespace ladderstream::forwarding {
 
-/// How an ill back end fails a request.
+/// How a faulty back end fails a request.
 enum class FaultKind {
-  /// It turns it away, with free slots by its own word.
+  /// Rejects it although it reports free slots.
   kSheds,
-  /// It turns it away and says that all its slots and its queue are taken.
+  /// Rejects it and reports that all its slots and its queue are full.
   kReportsFull,
-  /// It resets the connection.
+  /// Resets the connection.
   kResets,
-  /// It never answers.
+  /// Never answers.
   kHangs,
-  /// It answers with an error of its own.
+  /// Answers with an application error.
   kErrors,
-  /// It takes eight times as long.
+  /// Takes eight times as long.
   kSlow,
 };
 
@@ -32,28 +32,30 @@
   int backends = 8;
   int faulty = 1;
   FaultKind fault = FaultKind::kSheds;
-  /// The share of its requests that an ill back end fails.
+  /// The share of its requests that a faulty back end fails.
   double failure_share = 0.5;
   Duration between_requests = absl::Milliseconds(10);
   Duration service_time = absl::Milliseconds(60);
-  /// Before the illness, of the illness, and after it.
+  /// Durations before, during and after the fault.
   Duration healthy_time = absl::Seconds(2);
   Duration fault_time = absl::Seconds(10);
   Duration recovery_time = absl::Seconds(5);
   uint64_t seed = 1;
 };
 
-/// Of the requests that came while back ends were ill.
+/// Counts of the requests that arrived during the fault.
 struct FaultOutcome {
   int requests = 0;
   int served = 0;
-  /// Final answers of the node that say that the request has not run, and other failures.
+  /// `refused` counts final answers of the node that state that the request has not run; `failed`
+  /// counts other failures.
   int refused = 0;
   int failed = 0;
   int sends = 0;
   int sent_again = 0;
   int sent_to_faulty = 0;
-  /// The share of the requests that formerly ill back ends got in the last second of `recovered`.
+  /// The share of the requests that formerly faulty back ends got in the last second of
+  /// `recovery_time`.
   double share_after = 0;
 };
 
--- a/tests/unit/forwarding/ill_back_end_test.cc
+++ b/tests/unit/forwarding/ill_back_end_test.cc
@@ -1,5 +1,5 @@
-// Back ends that fail a part of their requests while they look well: how often requests are sent
-// again because of them, and what their callers get.
+// Tests the number of retries and the results for callers while some back ends fail a part of their
+// requests.
 #include <boost/test/unit_test.hpp>
 
 #include "core/load/failure_evidence.h"
@@ -10,7 +10,7 @@
 
 constexpr uint64_t kReplays = 20;
 
-/// The sum over plays of different seeds; the mean of `share_after`.
+/// Returns the sums over replays with different seeds, and the mean of `share_after`.
 FaultOutcome ReplayAll(FaultScenario scenario) {
   FaultOutcome sum;
   for (uint64_t seed = 1; seed <= kReplays; ++seed) {
@@ -27,12 +27,12 @@
   }
   BOOST_TEST_MESSAGE("requests " << sum.requests << ", served " << sum.served << ", refused "
                                  << sum.refused << ", failed " << sum.failed << ", sent again "
-                                 << sum.sent_again << ", sent to ill ones " << sum.sent_to_faulty
+                                 << sum.sent_again << ", sent to faulty ones " << sum.sent_to_faulty
                                  << ", share after " << sum.share_after);
   return sum;
 }
 
-/// Two of 14 back ends; this node sends to each twice a second.
+/// Two of 14 back ends are faulty; this node sends each about two requests a second.
 FaultScenario FewNodes(FaultKind fault) {
   FaultScenario scenario;
   scenario.fault = fault;
@@ -42,7 +42,8 @@
   return scenario;
 }
 
-/// Eleven of 75 back ends, to each of which this node, one of very many, sends every 4.5 s.
+/// Eleven of 75 back ends are faulty; this node, one of very many, sends each a request every 4.5
+/// s.
 FaultScenario ManyNodes(FaultKind fault) {
   FaultScenario scenario;
   scenario.fault = fault;
@@ -65,8 +66,8 @@
 
 BOOST_AUTO_TEST_SUITE(ill_back_end)
 
-// Before, where a success wiped out what failed: 286, 376 and 430 failures.
-BOOST_AUTO_TEST_CASE(half_failing_ones_are_left_out_by_few_nodes) {
+// If a success erased all earlier failures, there would be 286, 376 and 430 failures.
+BOOST_AUTO_TEST_CASE(few_nodes_avoid_back_ends_that_fail_half_of_their_requests) {
   const FaultOutcome sheds = ReplayAll(FewNodes(FaultKind::kSheds));
   BOOST_TEST(sheds.sent_again < 100);
   BOOST_TEST(sheds.served >= sheds.requests - 5);
@@ -76,19 +77,19 @@
   BOOST_TEST(ReplayAll(FewNodes(FaultKind::kErrors)).failed < 100);
 }
 
-// Before: 196, 241 and 223. One failure for each node and ill back end, 110, is the least that a
-// node alone can learn from.
-BOOST_AUTO_TEST_CASE(half_failing_ones_are_left_out_by_many_nodes) {
+// If a success erased all earlier failures: 196, 241 and 223. The minimum for a node that learns
+// only from its own requests is one failure per node and faulty back end, 110.
+BOOST_AUTO_TEST_CASE(many_nodes_avoid_back_ends_that_fail_half_of_their_requests) {
   BOOST_TEST(ReplayAll(ManyNodes(FaultKind::kSheds)).sent_again < 160);
   BOOST_TEST(ReplayAll(ManyNodes(FaultKind::kResets)).sent_again < 160);
   BOOST_TEST(ReplayAll(ManyNodes(FaultKind::kErrors)).failed < 160);
 }
 
-BOOST_AUTO_TEST_CASE(errors_are_passed_on_and_never_sent_again) {
+BOOST_AUTO_TEST_CASE(application_errors_are_relayed_and_not_retried) {
   BOOST_TEST(ReplayAll(FewNodes(FaultKind::kErrors)).sent_again == 0);
 }
 
-BOOST_AUTO_TEST_CASE(those_that_claim_to_be_full_hang_or_are_slow_cost_few_repeats) {
+BOOST_AUTO_TEST_CASE(back_ends_that_report_full_hang_or_are_slow_cause_few_retries) {
   for (const FaultKind fault : {FaultKind::kReportsFull, FaultKind::kHangs, FaultKind::kSlow}) {
     const FaultOutcome outcome = ReplayAll(FewNodes(fault));
     BOOST_TEST(outcome.sent_again < 80);
@@ -96,33 +97,33 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(those_that_are_well_again_come_back_within_seconds) {
+BOOST_AUTO_TEST_CASE(recovered_back_ends_are_used_again_within_seconds) {
   const double fair = 2.0 / 14;
   for (const FaultKind fault : {FaultKind::kSheds, FaultKind::kResets, FaultKind::kErrors}) {
     BOOST_TEST(ReplayAll(FewNodes(fault)).share_after > 0.4 * fair);
   }
 }
 
-BOOST_AUTO_TEST_CASE(where_all_are_ill_requests_still_go_to_all_of_them) {
+BOOST_AUTO_TEST_CASE(all_back_ends_are_used_when_all_are_faulty) {
   FaultScenario scenario = FewNodes(FaultKind::kSheds);
   scenario.faulty = scenario.backends;
   const FaultOutcome outcome = ReplayAll(scenario);
-  // Half of the first attempts, and a half of what the retry budget lets be sent again.
+  // Half of the first attempts are served, and half of the retries that the budget allows.
   BOOST_TEST(outcome.served > 0.55 * outcome.requests);
-  // The budget: a fifth, and the slack of 60 of each play.
+  // The retry budget: a fifth of the requests, and a slack of 60 per replay.
   BOOST_TEST(outcome.sent_again <= 0.2 * outcome.requests + 60.0 * kReplays);
 }
 
-BOOST_AUTO_TEST_CASE(an_ill_owner_with_room_is_sent_what_it_would_serve) {
+BOOST_AUTO_TEST_CASE(faulty_owner_with_free_slots_is_not_limited) {
   for (const FaultKind fault : {FaultKind::kSheds, FaultKind::kResets}) {
     const FaultOutcome outcome = ReplayAll(OneOwner(fault));
-    // None is kept back by a limit that is made for owners without room.
+    // The limit for owners without free slots must hold back no request.
     BOOST_TEST(outcome.sends >= outcome.requests);
     BOOST_TEST(outcome.served > 0.75 * outcome.requests);
   }
 }
 
-BOOST_AUTO_TEST_CASE(a_repeat_at_an_ill_owner_comes_after_a_pause) {
+BOOST_AUTO_TEST_CASE(retry_at_a_faulty_owner_is_delayed) {
   DispatcherHarness harness;
   harness.AddBackends("scripts", {"s-1"});
   harness.Own("s-1");
@@ -134,7 +135,7 @@
   BOOST_TEST((harness.Only<SendDecision>().cause == SendCause::kAfterRefusal));
 }
 
-BOOST_AUTO_TEST_CASE(evidence_is_a_share_that_fades) {
+BOOST_AUTO_TEST_CASE(failure_odds_decay) {
   const Time start = absl::FromUnixSeconds(1000);
   load::FailureEvidence evidence;
   BOOST_TEST(evidence.Odds(start) == 0);
--- a/tests/unit/forwarding/load_test.cc
+++ b/tests/unit/forwarding/load_test.cc
@@ -1,4 +1,4 @@
-// What the coordinator is told of requests for keys.
+// Tests the load report to the coordinator for requests with keys.
 #include <boost/test/unit_test.hpp>
 
 #include "dispatcher_harness.h"
@@ -8,7 +8,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(load, DispatcherHarness)
 
-BOOST_AUTO_TEST_CASE(keys_of_all_requests_count_also_of_refused_ones) {
+BOOST_AUTO_TEST_CASE(keys_of_refused_requests_are_counted) {
   for (int i = 0; i < 3; ++i) {
     Start("/scripts/1", absl::Seconds(1), 9);
   }
@@ -22,7 +22,7 @@
   BOOST_TEST(dispatcher.TakeLoad().empty());
 }
 
-BOOST_AUTO_TEST_CASE(service_times_come_only_from_answers_that_had_not_queued) {
+BOOST_AUTO_TEST_CASE(service_times_are_sampled_only_without_queueing) {
   AddBackends("scripts", {"s-1"});
   Own("s-1");
   const auto serve = [this](uint32_t waiting, int status) {
--- a/tests/unit/forwarding/owner_limit_test.cc
+++ b/tests/unit/forwarding/owner_limit_test.cc
@@ -1,4 +1,4 @@
-// What one node may have at an owner of keys that is overloaded, found without being told.
+// Tests the limit that a node sets itself at an overloaded owner of keys that reports no load.
 #include "core/admission/owner_limit.h"
 
 #include <boost/test/unit_test.hpp>
@@ -13,13 +13,13 @@
 
 BOOST_AUTO_TEST_SUITE(owner_limit)
 
-BOOST_AUTO_TEST_CASE(an_owner_that_answers_in_time_is_not_limited) {
+BOOST_AUTO_TEST_CASE(owner_that_answers_in_time_is_not_limited) {
   admission::OwnerLimit limit;
   limit.OnAnswer(kStart, true, kStart + kServiceTime);
   BOOST_TEST(limit.Allows(1000, kStart + kServiceTime));
 }
 
-BOOST_AUTO_TEST_CASE(losses_cut_the_limit_once_for_what_was_sent_together) {
+BOOST_AUTO_TEST_CASE(rejections_of_concurrent_requests_reduce_the_limit_once) {
   admission::OwnerLimit limit;
   for (int i = 0; i < 8; ++i) {
     limit.OnTurnedAway(kStart, kServiceTime, kStart + absl::Milliseconds(i));
@@ -29,7 +29,7 @@
   BOOST_TEST(!limit.Allows(2, kStart + absl::Milliseconds(8)));
 }
 
-BOOST_AUTO_TEST_CASE(a_share_below_one_request_spaces_them_out) {
+BOOST_AUTO_TEST_CASE(limit_below_one_spaces_requests) {
   admission::OwnerLimit limit;
   Time now = kStart;
   while (limit.limit() >= 0.5) {
@@ -42,7 +42,7 @@
   BOOST_TEST(!limit.Allows(1, limit.next_send()));
 }
 
-BOOST_AUTO_TEST_CASE(late_answers_cut_and_timely_ones_raise_it_until_it_is_forgotten) {
+BOOST_AUTO_TEST_CASE(late_answers_lower_and_timely_answers_raise_the_limit_until_it_expires) {
   admission::OwnerLimit limit;
   limit.OnAnswer(kStart, false, kStart + absl::Milliseconds(1));
   const double cut = limit.limit();
@@ -60,8 +60,9 @@
   SendDecision Send() { return StartAndSend("/scripts/1", absl::Seconds(2), 77); }
 };
 
-/// A full owner may reset a connection long after the request came, without telling its load.
-BOOST_FIXTURE_TEST_CASE(requests_lost_late_at_an_untold_owner_hold_the_next_ones_back, Owned) {
+/// A full owner may reset a connection long after the request arrived, without reporting its load.
+BOOST_FIXTURE_TEST_CASE(requests_lost_late_at_an_owner_without_load_reports_delay_further_ones,
+                        Owned) {
   std::vector<SendDecision> sent;
   for (int i = 0; i < 4; ++i) {
     sent.push_back(Send());
@@ -73,7 +74,7 @@
   }
   Advance(absl::Milliseconds(200));
   dispatcher.TakeDecisions();
-  // One probes whether it is well again; what comes beside it waits its turn.
+  // One request probes whether the owner has recovered; the others wait.
   Start("/scripts/1", absl::Seconds(2), 77);
   Start("/scripts/1", absl::Seconds(2), 77);
   Start("/scripts/1", absl::Seconds(2), 77);
--- a/tests/unit/forwarding/route_test.cc
+++ b/tests/unit/forwarding/route_test.cc
@@ -1,4 +1,4 @@
-// Routes by host and path, traffic splits, and which configuration a request goes by.
+// Tests routing by host and path, traffic splits, and the configuration that applies to a request.
 #include <boost/test/unit_test.hpp>
 #include <cmath>
 
@@ -50,7 +50,7 @@
   BOOST_TEST((answer.retry_after > absl::ZeroDuration()));
 }
 
-BOOST_AUTO_TEST_CASE(older_configuration_never_comes_back) {
+BOOST_AUTO_TEST_CASE(older_configuration_is_ignored) {
   DispatcherHarness harness;
   harness.Configure(WithPrefixes());
   harness.Configure(DispatcherHarness::DefaultConfiguration());
@@ -74,7 +74,7 @@
     harness.Answer(send);
     harness.Only<RelayDecision>();
     ++counts[send.backend];
-    // New versions that leave the split alone must not start its cycle anew.
+    // New versions with an unchanged split must not restart its cycle.
     ++split.version;
     harness.Configure(split);
     BOOST_REQUIRE_LT(std::abs(counts["c-1"] - 0.7 * i), 2);
@@ -104,8 +104,9 @@
   }
 }
 
-// A part of a split without room keeps its share: what does not fit there is refused.
-BOOST_AUTO_TEST_CASE(what_does_not_fit_in_a_part_does_not_go_to_another) {
+// A target of a split without capacity keeps its share: its excess requests are refused instead of
+// sent to other targets.
+BOOST_AUTO_TEST_CASE(excess_requests_of_a_split_target_do_not_go_to_other_targets) {
   DispatcherHarness harness;
   catalog::Configuration split = DispatcherHarness::DefaultConfiguration();
   split.version = 2;
--- a/tests/unit/forwarding/service_table_test.cc
+++ b/tests/unit/forwarding/service_table_test.cc
@@ -1,7 +1,6 @@
-// At the start of 984 nodes and 9,998 back ends, 78% of all nodes' processor time went into
-// comparing each back end that was new with all that were known, 100 million times on each node;
-// after five minutes of play 5.8 s had been simulated. A profile of second 5 named
-// ServiceTable::EndEarlierIncarnations.
+// Guards against a quadratic comparison of new back ends with all known ones. At the start of 984
+// nodes and 9,998 back ends it took 78% of the processor time of all nodes: 100 million comparisons
+// on each node in ServiceTable::EndEarlierIncarnations, so that five minutes simulated 5.8 s.
 #include "core/forwarding/service_table.h"
 
 #include <absl/strings/str_cat.h>
@@ -31,7 +30,7 @@
     }
     table.ChangeBackends(all, {}, now);
   }
-  /// Gives how many back ends were looked at.
+  /// Applies the changes and returns the number of back ends examined.
   uint64_t Change(const catalog::BackendChanges& changes) {
     const uint64_t before = table.registrations_examined();
     table.ChangeBackends(changes, {}, now);
@@ -45,26 +44,26 @@
 
 BOOST_FIXTURE_TEST_SUITE(service_table, LargeTable)
 
-BOOST_AUTO_TEST_CASE(a_start_looks_at_each_back_end_once) {
+BOOST_AUTO_TEST_CASE(initial_load_examines_each_back_end_once) {
   BOOST_TEST(table.registrations_examined() == kBackends);
   BOOST_TEST(table.Service("cards").backends.size() == kBackends);
 }
 
-BOOST_AUTO_TEST_CASE(a_changed_registration_costs_the_same_among_ten_thousand) {
+BOOST_AUTO_TEST_CASE(changed_registration_examines_one_back_end) {
   catalog::Backend changed = BackendOf(7);
   changed.draining = true;
   BOOST_TEST(Change({{changed}, {}}) == 1U);
   BOOST_TEST(table.FindBackend(changed.id)->registration.draining);
 }
 
-BOOST_AUTO_TEST_CASE(a_back_end_that_starts_again_ends_its_earlier_incarnation) {
+BOOST_AUTO_TEST_CASE(restarted_back_end_ends_its_earlier_incarnation) {
   const catalog::Backend again = BackendOf(7, 2);
   BOOST_TEST(Change({{again}, {}}) == 2U);
   BOOST_TEST((table.FindBackend(BackendOf(7).id)->usable_until == absl::InfinitePast()));
   BOOST_TEST((table.FindBackend(BackendOf(8).id)->usable_until == absl::InfiniteFuture()));
 }
 
-BOOST_AUTO_TEST_CASE(those_that_went_are_forgotten_one_by_one) {
+BOOST_AUTO_TEST_CASE(deregistered_back_end_is_removed_after_the_retention_time) {
   const std::string id = BackendOf(7).id;
   BOOST_TEST(Change({{}, {id}}) == 1U);
   now += absl::Seconds(29);
@@ -76,7 +75,7 @@
   BOOST_TEST(table.Service("cards").backends.size() == kBackends - 1);
 }
 
-BOOST_AUTO_TEST_CASE(one_that_returned_is_not_forgotten) {
+BOOST_AUTO_TEST_CASE(back_end_registered_again_is_not_removed) {
   Change({{}, {BackendOf(7).id}});
   Change({{BackendOf(7)}, {}});
   now += absl::Seconds(31);
@@ -84,7 +83,7 @@
   BOOST_TEST((table.FindBackend(BackendOf(7).id) != nullptr));
 }
 
-BOOST_AUTO_TEST_CASE(lists_of_services_stay_in_order_of_ids) {
+BOOST_AUTO_TEST_CASE(back_ends_of_a_service_stay_sorted_by_id) {
   Change({{BackendOf(20'000), BackendOf(3, 2)}, {}});
   const std::vector<BackendStatePtr>& listed = table.Service("cards").backends;
   BOOST_TEST(listed.size() == kBackends + 2);
@@ -93,7 +92,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(one_that_goes_to_another_service_is_listed_there) {
+BOOST_AUTO_TEST_CASE(back_end_that_changes_service_is_listed_there) {
   catalog::Backend moved = BackendOf(7);
   moved.service = "scripts";
   Change({{moved}, {}});
--- a/tests/unit/forwarding/sharded_test.cc
+++ b/tests/unit/forwarding/sharded_test.cc
@@ -1,4 +1,5 @@
-// Requests for keys: only ever to the owner by a map that is known to be in force.
+// Tests requests for keys: they are sent only to the owner according to a map that is known to be
+// in force.
 #include <boost/test/unit_test.hpp>
 
 #include "dispatcher_harness.h"
@@ -21,7 +22,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(sharded, Sharded)
 
-BOOST_AUTO_TEST_CASE(missing_or_invalid_key_is_the_callers_fault) {
+BOOST_AUTO_TEST_CASE(missing_or_invalid_key_is_a_bad_request) {
   Start("/scripts/1", kDeadline, std::nullopt);
   BOOST_TEST(Only<AnswerDecision>().status == 400);
   Start("/scripts/1", kDeadline, 65536);
@@ -37,7 +38,7 @@
   BOOST_TEST((answer.code == ResultCode::kNoOwner));
 }
 
-BOOST_AUTO_TEST_CASE(older_map_never_comes_back) {
+BOOST_AUTO_TEST_CASE(older_map_is_ignored) {
   Own("s-2");
   auto old = std::make_shared<ownership::OwnershipMap>();
   old->version = {1, 1};
@@ -46,7 +47,7 @@
   BOOST_TEST(Send().backend == "s-2");
 }
 
-BOOST_AUTO_TEST_CASE(moving_key_waits_for_the_next_map) {
+BOOST_AUTO_TEST_CASE(request_for_a_moving_key_waits_for_the_next_map) {
   Own("s-1", {{0, 100}});
   Begin();
   Advance(absl::Milliseconds(30));
@@ -57,7 +58,7 @@
   BOOST_TEST(dispatcher.RequestsWaiting() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(moving_key_is_refused_when_patience_ends) {
+BOOST_AUTO_TEST_CASE(request_for_a_moving_key_is_refused_after_the_maximum_wait) {
   Own("s-1", {{0, 100}});
   Begin();
   const Time start = now;
@@ -71,7 +72,7 @@
   BOOST_TEST((now - start < absl::Milliseconds(110)));
 }
 
-BOOST_AUTO_TEST_CASE(denied_request_goes_only_to_another_assignment) {
+BOOST_AUTO_TEST_CASE(request_rejected_by_a_non_owner_is_sent_only_to_another_assignment) {
   const SendDecision first = Send();
   Sent(first);
   Answer(first, 421);
@@ -85,7 +86,7 @@
   Only<RelayDecision>();
 }
 
-BOOST_AUTO_TEST_CASE(denied_request_is_refused_when_no_newer_map_comes) {
+BOOST_AUTO_TEST_CASE(request_rejected_by_a_non_owner_is_refused_without_a_newer_map) {
   const SendDecision first = Send();
   Sent(first);
   Answer(first, 421);
@@ -95,7 +96,7 @@
   BOOST_TEST((answer.code == ResultCode::kOwnerChanged));
 }
 
-BOOST_AUTO_TEST_CASE(lost_request_goes_to_the_owner_once_more) {
+BOOST_AUTO_TEST_CASE(lost_request_is_retried_at_the_owner) {
   const SendDecision first = Send();
   Sent(first);
   Advance(absl::Milliseconds(150));
@@ -132,7 +133,7 @@
   BOOST_TEST(All<SendDecision>().empty());
 }
 
-BOOST_AUTO_TEST_CASE(owner_that_was_draining_before_this_node_looked_is_not_used) {
+BOOST_AUTO_TEST_CASE(owner_first_seen_draining_is_not_used) {
   catalog::Backend backend = MakeBackend("s-3", "scripts");
   backend.draining = true;
   AddBackend(backend);
@@ -148,7 +149,7 @@
   BOOST_TEST(Quiet());
 }
 
-BOOST_AUTO_TEST_CASE(full_owner_gets_the_request_once_a_slot_is_free) {
+BOOST_AUTO_TEST_CASE(request_is_sent_to_a_full_owner_once_a_slot_is_free) {
   const SendDecision first = Send();
   Sent(first);
   const SendDecision refused = Send();
@@ -192,7 +193,7 @@
   BOOST_TEST((answer.retry_after > absl::Milliseconds(100)));
 }
 
-BOOST_AUTO_TEST_CASE(owner_that_was_slow_long_ago_is_given_a_try) {
+BOOST_AUTO_TEST_CASE(owner_that_was_slow_long_ago_is_tried_again) {
   const SendDecision slow = Send();
   Sent(slow);
   Advance(absl::Milliseconds(1900));
