--- a/src/core/forwarding/backend_choice.cc
+++ b/src/core/forwarding/backend_choice.cc
@@ -133,18 +133,18 @@
 
 void LeastWaitChoice::ReadmitSuspects(Scan& scan, Time now) {
   const auto share = static_cast<size_t>(kMaxEjectedShare * static_cast<double>(scan.usable));
-  const size_t most = std::max<size_t>(share, 1);
-  if (scan.suspects.size() <= most) {
+  const size_t max_ejected = std::max<size_t>(share, 1);
+  if (scan.suspects.size() <= max_ejected) {
     return;
   }
   std::sort(scan.suspects.begin(), scan.suspects.end(),
             [now](const BackendStatePtr* a, const BackendStatePtr* b) {
               return (*a)->outlier.FailureOdds(now) > (*b)->outlier.FailureOdds(now);
             });
-  for (size_t i = most; i < scan.suspects.size(); ++i) {
+  for (size_t i = max_ejected; i < scan.suspects.size(); ++i) {
     AddCandidate(*scan.suspects[i], now);
   }
-  scan.suspects.resize(most);
+  scan.suspects.resize(max_ejected);
 }
 
 void LeastWaitChoice::AddCandidate(const BackendStatePtr& backend, Time now) {
@@ -161,8 +161,8 @@
 
 const BackendStatePtr& LeastWaitChoice::Draw() {
   const auto by_cost = [](const Candidate& a, const Candidate& b) { return a.cost < b.cost; };
-  const Duration least = std::min_element(candidates_.begin(), candidates_.end(), by_cost)->cost;
-  const Duration tie = least * (1 + kTieShare);
+  const Duration min_cost = std::min_element(candidates_.begin(), candidates_.end(), by_cost)->cost;
+  const Duration tie = min_cost * (1 + kTieShare);
   const auto others =
       std::partition(candidates_.begin(), candidates_.end(),
                      [tie](const Candidate& candidate) { return candidate.cost <= tie; });
--- a/src/core/forwarding/service_table.cc
+++ b/src/core/forwarding/service_table.cc
@@ -23,8 +23,8 @@
 /// An outage of the store lets nearly all registrations expire together; a release or a scale-in
 /// removes a few at a time.
 constexpr double kMassExpiryShare = 1.0 / 3;
-/// Upper bound on a requested back-off, so that a wrong value (for example seconds meant as
-/// milliseconds) does not disable the back end for good.
+/// Upper bound on a requested back-off, so that a wrong value (for example milliseconds
+/// sent as seconds) does not disable the back end for good.
 constexpr Duration kMaxBackoff = absl::Hours(1);
 /// Minimum interval between reports of the admission level of a service.
 constexpr Duration kLevelReportInterval = absl::Seconds(1);
@@ -219,10 +219,10 @@
                                      : news.changed_after + settings_.drain_time - kTransitReserve;
   StopNewWork(std::min(now + grace, last),
               std::min(now + std::max(settings_.drain_serving, grace), last), state);
-  AddStateChange(state, "gone",
-                 absl::StrCat("its registration disappeared",
-                              news.store_troubled ? " while the store was unavailable or slow" : "",
-                              AgeOf(news, now)));
+  AddStateChange(
+      state, "gone",
+      absl::StrCat("its registration disappeared",
+                   news.store_troubled ? " while store calls were failing" : "", AgeOf(news, now)));
 }
 
 void ServiceTable::List(const std::vector<BackendStatePtr>& added) {
--- a/src/core/load/load_estimate.h
+++ b/src/core/load/load_estimate.h
@@ -23,8 +23,8 @@
   void AddServiceTime(Duration service_time);
   /// `foreign` is the number of requests at the back end that other nodes sent.
   void AddForeign(double foreign, uint32_t slots);
-  /// Reported loads are taken to include the request that they are returned with, until a report
-  /// shows that they do not.
+  /// Records whether reported loads include the request that they are returned with; this is
+  /// assumed until a report shows otherwise.
   void RecordReport(const ToldLoad& reported);
 
   Duration ServiceTime() const { return known_ ? service_time_ : prior_; }
