--- a/src/core/forwarding/service_table.h
+++ b/src/core/forwarding/service_table.h
@@ -42,7 +42,7 @@
   void ChangeBackends(const catalog::BackendChanges& changes, const RegistrationNews& news,
                       Time now);
 
-  /// Records that the back end itself reported to be cold for `time_left` from now on.
+  /// Records that the back end itself reported being cold for `time_left` from now on.
   void RecordCold(Duration time_left, BackendState& state, Time now);
   /// Records that the back end itself asked this node to send it nothing for `time` from now on.
   void RecordBackoff(Duration time, BackendState& state, Time now);
--- a/tests/unit/forwarding/ill_back_end_test.cc
+++ b/tests/unit/forwarding/ill_back_end_test.cc
@@ -42,8 +42,7 @@
   return scenario;
 }
 
-/// Eleven of 75 back ends are faulty; this node, one of very many, sends each a request every 4.5
-/// s.
+/// Eleven of 75 back ends are faulty; this node, one of very many, sends to each every 4.5 s.
 FaultScenario ManyNodes(FaultKind fault) {
   FaultScenario scenario;
   scenario.fault = fault;
