--- a/src/core/forwarding/backend_choice.cc
+++ b/src/core/forwarding/backend_choice.cc
@@ -6,16 +6,17 @@
 namespace ladderstream::forwarding {
 namespace {
 
-/// Back ends whose cost exceeds the least by no more than this share of it are about as good.
+/// Back ends whose cost exceeds the minimum by at most this share are considered equally good.
 constexpr double kTieShare = 0.1;
-/// At most this share of the usable back ends, and always one, is ejected for failing requests.
-/// Where more fail, that says more about the way there, or about the requests; and deployments are
-/// made to bear the loss of one zone of three, so two thirds can take over what the rest had.
-constexpr double kMostEjected = 1.0 / 3;
-/// Service times that a failure costs: the request takes its way once more, and often has used up
-/// its time. With 2 in place of 1, back ends that were well again got less (0.05 of the requests
-/// where 0.14 is their share, with 1 it was 0.08) and ill ones hardly less (75 in place of 92 of
-/// 6,700 requests; replay of the unit test ill_back_end, 14 back ends, 20 seeds).
+/// At most this share of the usable back ends, but at least one, stays ejected for failing
+/// requests. If more fail, the network path or the requests are the more likely cause. Deployments
+/// are sized to survive the loss of one of three zones, so two thirds of the back ends can carry
+/// the full load.
+constexpr double kMaxEjectedShare = 1.0 / 3;
+/// Cost of a failure in service times: the request is sent once more and has often used up its
+/// time. With 2 instead of 1, recovered back ends got 0.05 instead of 0.08 of the requests, where
+/// 0.14 is their fair share, and faulty ones got 75 instead of 92 of 6,700 requests (replay of the
+/// unit test ill_back_end, 14 back ends, 20 seeds).
 constexpr double kFailureCost = 1;
 
 bool Contains(const std::vector<BackendStatePtr>& backends, const BackendStatePtr& backend) {
@@ -24,25 +25,26 @@
 
 }  // namespace
 
-/// What one look at all back ends found besides candidates.
+/// Results of one scan over all back ends, apart from the candidates.
 struct LeastWaitChoice::Scan {
   size_t usable = 0;
   size_t failed = 0;
   std::vector<const BackendStatePtr*> suspects;
-  /// The one that is unreachable for the shortest time, and the one that is full for the shortest.
+  /// The one whose ejection as unreachable ends first, and the one that stops being full first.
   const BackendStatePtr* unreachable = nullptr;
   const BackendStatePtr* full = nullptr;
   const BackendStatePtr* cold = nullptr;
-  /// The one whose rest ends first.
-  const BackendStatePtr* resting = nullptr;
-  /// One with a limit, of which this node may ask for a permit first.
+  /// The one whose back-off ends first.
+  const BackendStatePtr* in_backoff = nullptr;
+  /// The rate-limited one for which this node can request a permit first.
   const BackendStatePtr* limited = nullptr;
   Time limited_until = absl::InfiniteFuture();
-  /// One with a limit, for which this node holds a permit.
+  /// A rate-limited one for which this node holds a permit.
   const BackendStatePtr* permitted = nullptr;
 };
 
-bool ColdAllows(const BackendState& backend, const allowance::ColdSenders& senders, Time now) {
+bool MaySendWhileCold(const BackendState& backend, const allowance::ColdSenders& senders,
+                      Time now) {
   const catalog::Backend& registration = backend.registration;
   return !registration.BoundedByCold(now) ||
          (now >= backend.next_cold_send && senders.IsSender(registration.id, now));
@@ -67,9 +69,10 @@
     return Explain(scan);
   }
   Choice choice;
-  // Asked for ahead: the back end's rate is there to be used, and its next answer tells when its
-  // limit has ended. A permit that is held would be lost soon.
-  choice.wants_permit = scan.limited == nullptr ? nullptr : *scan.limited;
+  // Request a permit in advance, so that the rate of the back end is used; its next answer also
+  // shows when its limit has ended. A permit already held is used first because it would soon
+  // expire.
+  choice.request_permit_for = scan.limited == nullptr ? nullptr : *scan.limited;
   choice.backend = scan.permitted == nullptr ? Draw() : *scan.permitted;
   choice.expected_wait = choice.backend->load.ExpectedWait(context.now);
   return choice;
@@ -80,14 +83,15 @@
   if (!backend->UsableForAny(context.now)) {
     return;
   }
-  if (!ColdAllows(*backend, cold_senders_, context.now)) {
+  if (!MaySendWhileCold(*backend, cold_senders_, context.now)) {
     scan.cold = &backend;
     return;
   }
-  // Passed over before all else, so that no way back for ejected ones leads to it.
-  if (backend->Rests(context.now)) {
-    if (scan.resting == nullptr || backend->rest_until < (*scan.resting)->rest_until) {
-      scan.resting = &backend;
+  // Check the back-off before all ejections, so that readmitting ejected back ends never selects
+  // one that asked this node to back off.
+  if (backend->InBackoff(context.now)) {
+    if (scan.in_backoff == nullptr || backend->backoff_until < (*scan.in_backoff)->backoff_until) {
+      scan.in_backoff = &backend;
     }
     return;
   }
@@ -128,25 +132,26 @@
 }
 
 void LeastWaitChoice::ReadmitSuspects(Scan& scan, Time now) {
-  const auto share = static_cast<size_t>(kMostEjected * static_cast<double>(scan.usable));
-  const size_t most = std::max<size_t>(share, 1);
-  if (scan.suspects.size() <= most) {
+  const auto share = static_cast<size_t>(kMaxEjectedShare * static_cast<double>(scan.usable));
+  const size_t max_ejected = std::max<size_t>(share, 1);
+  if (scan.suspects.size() <= max_ejected) {
     return;
   }
   std::sort(scan.suspects.begin(), scan.suspects.end(),
             [now](const BackendStatePtr* a, const BackendStatePtr* b) {
               return (*a)->outlier.FailureOdds(now) > (*b)->outlier.FailureOdds(now);
             });
-  for (size_t i = most; i < scan.suspects.size(); ++i) {
+  for (size_t i = max_ejected; i < scan.suspects.size(); ++i) {
     AddCandidate(*scan.suspects[i], now);
   }
-  scan.suspects.resize(most);
+  scan.suspects.resize(max_ejected);
 }
 
 void LeastWaitChoice::AddCandidate(const BackendStatePtr& backend, Time now) {
   const Duration service_time = backend->load.ServiceTime(now);
   Duration cost = service_time + backend->load.ExpectedWait(now);
-  // In proportion: one that fails half of its requests is used where the others' queues cost more.
+  // The cost is proportional to the failure odds: a back end that fails half of its requests is
+  // used when the queues of the others cost more.
   cost += kFailureCost * backend->outlier.FailureOdds(now) * service_time;
   if (backend->registration.zone != settings_.zone) {
     cost += settings_.remote_zone_cost * service_time;
@@ -156,8 +161,8 @@
 
 const BackendStatePtr& LeastWaitChoice::Draw() {
   const auto by_cost = [](const Candidate& a, const Candidate& b) { return a.cost < b.cost; };
-  const Duration least = std::min_element(candidates_.begin(), candidates_.end(), by_cost)->cost;
-  const Duration tie = least * (1 + kTieShare);
+  const Duration min_cost = std::min_element(candidates_.begin(), candidates_.end(), by_cost)->cost;
+  const Duration tie = min_cost * (1 + kTieShare);
   const auto others =
       std::partition(candidates_.begin(), candidates_.end(),
                      [tie](const Candidate& candidate) { return candidate.cost <= tie; });
@@ -168,35 +173,36 @@
 Choice LeastWaitChoice::Explain(const Scan& scan) const {
   Choice choice;
   if (scan.full != nullptr) {
-    choice.obstacle = Obstacle::kAllFull;
-    choice.about = *scan.full;
-    choice.try_again = choice.about->load.full_until();
-    choice.may_pass = true;
+    choice.unavailable_reason = UnavailableReason::kAllFull;
+    choice.blocking_backend = *scan.full;
+    choice.retry_at = choice.blocking_backend->load.full_until();
+    choice.transient = true;
     return choice;
   }
   if (scan.limited != nullptr) {
-    choice.obstacle = Obstacle::kAllLimited;
-    choice.about = *scan.limited;
-    choice.wants_permit = choice.about;
-    choice.limit = rates_.limits().Find(choice.about->registration.id);
-    choice.try_again = scan.limited_until;
-    choice.may_pass = true;
+    choice.unavailable_reason = UnavailableReason::kAllLimited;
+    choice.blocking_backend = *scan.limited;
+    choice.request_permit_for = choice.blocking_backend;
+    choice.limit = rates_.limits().Find(choice.blocking_backend->registration.id);
+    choice.retry_at = scan.limited_until;
+    choice.transient = true;
     return choice;
   }
-  if (scan.resting != nullptr) {
-    choice.obstacle = Obstacle::kAllResting;
-    choice.about = *scan.resting;
-    choice.try_again = choice.about->rest_until;
-    choice.may_pass = true;
+  if (scan.in_backoff != nullptr) {
+    choice.unavailable_reason = UnavailableReason::kAllInBackoff;
+    choice.blocking_backend = *scan.in_backoff;
+    choice.retry_at = choice.blocking_backend->backoff_until;
+    choice.transient = true;
     return choice;
   }
   if (scan.cold != nullptr) {
-    choice.obstacle = Obstacle::kAllCold;
-    choice.about = *scan.cold;
+    choice.unavailable_reason = UnavailableReason::kAllCold;
+    choice.blocking_backend = *scan.cold;
     return choice;
   }
-  choice.obstacle = scan.failed > 0 ? Obstacle::kAllTried : Obstacle::kNoBackend;
-  choice.may_pass = scan.failed == 0;
+  choice.unavailable_reason =
+      scan.failed > 0 ? UnavailableReason::kAllTried : UnavailableReason::kNoBackend;
+  choice.transient = scan.failed == 0;
   return choice;
 }
 
@@ -206,8 +212,8 @@
       choice.expected_wait < context.start_by - context.now) {
     return choice;
   }
-  choice.obstacle = Obstacle::kOverloaded;
-  choice.about = std::exchange(choice.backend, nullptr);
+  choice.unavailable_reason = UnavailableReason::kOverloaded;
+  choice.blocking_backend = std::exchange(choice.backend, nullptr);
   return choice;
 }
 
--- a/src/core/forwarding/service_table.cc
+++ b/src/core/forwarding/service_table.cc
@@ -11,28 +11,28 @@
 namespace ladderstream::forwarding {
 namespace {
 
-/// A back end that disappeared is forgotten after this.
-constexpr Duration kForgetAfter = absl::Seconds(30);
-/// One that had said itself that it leaves is remembered for longer, since its registration may
-/// come back after a long outage of the store and says nothing of it.
-constexpr Duration kRememberLeaving = absl::Minutes(10);
-/// A request reaches the back end chosen for it within this: the way between zones, and room for a
-/// packet that is sent again, or for a loop that is behind. A connection that is not up when the
-/// back end may no longer be used carries nothing.
-constexpr Duration kWayReserve = absl::Milliseconds(200);
-/// An outage of the store lets nearly all registrations lapse together; a release or a scale-in
-/// takes a few at a time.
-constexpr double kLapsedShare = 1.0 / 3;
-/// No back end is left alone for longer by its own word, so that a wrong one (seconds that were
-/// meant as milliseconds, say) does not end its use for good.
-constexpr Duration kLongestRest = absl::Hours(1);
-/// The level of admission is told no more often than this for a service.
-constexpr Duration kLevelInterval = absl::Seconds(1);
-/// More beliefs than this are not kept until the next TakeStateChanges.
-constexpr size_t kMaxBeliefs = 1000;
-
-/// Fewer than this are put in their places one by one; more are merged.
-constexpr size_t kInsertedSingly = 16;
+/// A deregistered back end is removed after this time.
+constexpr Duration kRetention = absl::Seconds(30);
+/// A back end that announced its shutdown is retained for longer: its registration may reappear
+/// after a long outage of the store, without the announcement.
+constexpr Duration kLeavingRetention = absl::Minutes(10);
+/// Upper bound on the time for a request to reach the chosen back end: latency between zones, plus
+/// a margin for a retransmitted packet or a delayed event loop. A connection that is not
+/// established by the time the back end may no longer be used carries no request.
+constexpr Duration kTransitReserve = absl::Milliseconds(200);
+/// An outage of the store lets nearly all registrations expire together; a release or a scale-in
+/// removes a few at a time.
+constexpr double kMassExpiryShare = 1.0 / 3;
+/// Upper bound on a requested back-off, so that a wrong value (for example milliseconds
+/// sent as seconds) does not disable the back end for good.
+constexpr Duration kMaxBackoff = absl::Hours(1);
+/// Minimum interval between reports of the admission level of a service.
+constexpr Duration kLevelReportInterval = absl::Seconds(1);
+/// Maximum number of state changes kept until the next TakeBeliefs; further ones are dropped.
+constexpr size_t kMaxStateChanges = 1000;
+
+/// Up to this many new back ends are inserted one by one; more are merged.
+constexpr size_t kMaxSingleInserts = 16;
 
 const char* NameOfState(const catalog::Backend& backend) {
   if (backend.draining) {
@@ -41,11 +41,11 @@
   return backend.evacuated ? "evacuated" : "ready";
 }
 
-/// How long ago it may have changed, for a belief's detail.
-std::string AgeOf(const RegistrationUpdate& news, Time now) {
+/// Returns the maximum age of the change, as text for the detail of a state change.
+std::string AgeOf(const RegistrationNews& news, Time now) {
   const Duration age = now - news.changed_after;
   return age == absl::InfiniteDuration()
-             ? ", nothing tells when"
+             ? ", time of the change unknown"
              : absl::StrCat(", at most ", absl::ToInt64Milliseconds(age), " ms ago");
 }
 
@@ -61,10 +61,10 @@
 }  // namespace
 
 void ServiceTable::ChangeBackends(const catalog::BackendChanges& changes,
-                                  const RegistrationUpdate& news, Time now) {
+                                  const RegistrationNews& news, Time now) {
   const size_t registered_before = registered_count_;
   std::vector<BackendStatePtr> added;
-  looked_at_ += changes.set.size() + changes.gone.size();
+  registrations_examined_ += changes.set.size() + changes.gone.size();
   for (const catalog::Backend& backend : changes.set) {
     const auto known = backends_.find(backend.id);
     if (known == backends_.end()) {
@@ -78,59 +78,61 @@
     }
     Update(backend, news, *state, now);
   }
-  const auto gone_count = static_cast<double>(changes.gone.size());
-  const bool may_have_lapsed =
-      news.store_troubled && gone_count >= kLapsedShare * static_cast<double>(registered_before);
+  const auto deregistered_count = static_cast<double>(changes.gone.size());
+  const bool may_have_expired =
+      news.store_troubled &&
+      deregistered_count >= kMassExpiryShare * static_cast<double>(registered_before);
   for (const std::string& id : changes.gone) {
     const auto known = backends_.find(id);
     if (known != backends_.end() && known->second->registered) {
-      MarkGone(news, may_have_lapsed, *known->second, now);
-      gone_.emplace(ForgetDue(*known->second), known->second);
+      MarkDeregistered(news, may_have_expired, *known->second, now);
+      deregistered_.emplace(RetainedUntil(*known->second), known->second);
     }
   }
   List(added);
-  ForgetGone(now);
+  RemoveExpired(now);
 }
 
 BackendStatePtr ServiceTable::Register(const catalog::Backend& backend) {
   auto state = std::make_shared<BackendState>(backend, Service(backend.service).averages);
   state->load.SetColdUntil(backend.cold_until);
   if (backend.Leaves()) {
-    // It may have been leaving for long.
+    // The back end may have been leaving for a long time.
     state->usable_until = absl::InfinitePast();
     state->owner_usable_until = absl::InfinitePast();
   }
-  AddBelief(*state, "registered",
-            absl::StrCat(backend.service, " at ", FormatEndpoint(backend.address), ", ",
-                         NameOfState(backend)));
-  EndEarlier(backend);
+  AddStateChange(*state, "registered",
+                 absl::StrCat(backend.service, " at ", FormatEndpoint(backend.address), ", ",
+                              NameOfState(backend)));
+  EndEarlierIncarnations(backend);
   incarnations_[std::string(catalog::InstanceOf(backend.id))].push_back(state);
   backends_.emplace(backend.id, state);
   ++registered_count_;
   return state;
 }
 
-void ServiceTable::EndEarlier(const catalog::Backend& backend) {
+void ServiceTable::EndEarlierIncarnations(const catalog::Backend& backend) {
   const auto known = incarnations_.find(std::string(catalog::InstanceOf(backend.id)));
   if (known == incarnations_.end()) {
     return;
   }
-  looked_at_ += known->second.size();
+  registrations_examined_ += known->second.size();
   for (const BackendStatePtr& earlier : known->second) {
     StopNewWork(absl::InfinitePast(), absl::InfinitePast(), *earlier);
-    AddBelief(*earlier, "ended", absl::StrCat(backend.id, " has started in its place"));
+    AddStateChange(*earlier, "ended", absl::StrCat(backend.id, " has replaced it"));
   }
 }
 
-void ServiceTable::Update(const catalog::Backend& backend, const RegistrationUpdate& news,
+void ServiceTable::Update(const catalog::Backend& backend, const RegistrationNews& news,
                           BackendState& state, Time now) {
   catalog::Backend previous = std::exchange(state.registration, backend);
-  // What it said itself is newer than what its registration says through the store.
-  const Time cold_until = std::max(backend.cold_until, state.said_cold_until);
+  // What the back end reported itself is more recent than its registration, which comes through the
+  // store.
+  const Time cold_until = std::max(backend.cold_until, state.reported_cold_until);
   state.registration.cold_until = cold_until;
   state.load.SetColdUntil(cold_until);
   if (state.registration.BoundedByCold(now) && !previous.BoundedByCold(now)) {
-    AddBelief(state, "cold", absl::StrCat("for ", absl::FormatDuration(cold_until - now)));
+    AddStateChange(state, "cold", absl::StrCat("for ", absl::FormatDuration(cold_until - now)));
   }
   previous.cold_left = backend.cold_left;
   previous.cold_until = backend.cold_until;
@@ -140,83 +142,87 @@
   const bool was_serving = state.registered && !previous.Leaves();
   registered_count_ += state.registered ? 0 : 1;
   state.registered = true;
-  state.gone_at = absl::InfiniteFuture();
+  state.deregistered_at = absl::InfiniteFuture();
   state.load.SetSlots(backend.slots);
   state.outlier.Reset();
   if (!backend.Leaves()) {
-    // A registration that is late, or back after an outage of the store, takes back nothing that
-    // the back end itself has said.
-    if (!state.said_leaving) {
+    // A registration that is delayed, or that reappears after an outage of the store, does not
+    // revoke what the back end itself has announced.
+    if (!state.reported_leaving) {
       state.usable_until = absl::InfiniteFuture();
       state.owner_usable_until = absl::InfiniteFuture();
     }
-    AddBelief(state, was_serving ? "changed" : "returned", FormatEndpoint(backend.address));
+    AddStateChange(state, was_serving ? "changed" : "returned", FormatEndpoint(backend.address));
     return;
   }
-  // What is allowed from hearing on would add up with how late that was.
+  // The grace times start on receipt of the update; the time of the change bounds them, so that a
+  // late update does not extend them.
   if (backend.draining) {
-    const Time last = news.changed_after + settings_.drain_time - kWayReserve;
+    const Time last = news.changed_after + settings_.drain_time - kTransitReserve;
     StopNewWork(std::min(now + settings_.drain_grace, last),
                 std::min(now + settings_.drain_serving, last), state);
-    AddBelief(state, "draining", absl::StrCat("its registration says so", AgeOf(news, now)));
+    AddStateChange(state, "draining", absl::StrCat("marked in its registration", AgeOf(news, now)));
   } else {
-    const Time last = news.changed_after + settings_.evacuation_time - kWayReserve;
+    const Time last = news.changed_after + settings_.evacuation_time - kTransitReserve;
     StopNewWork(now, std::min(now + settings_.evacuation_serving, last), state);
-    AddBelief(state, "evacuated", absl::StrCat(backend.zone, AgeOf(news, now)));
+    AddStateChange(state, "evacuated", absl::StrCat(backend.zone, AgeOf(news, now)));
   }
 }
 
-void ServiceTable::NoteCold(Duration time_left, BackendState& state, Time now) {
+void ServiceTable::RecordCold(Duration time_left, BackendState& state, Time now) {
   const Time until = now + time_left;
-  state.said_cold_until = std::max(state.said_cold_until, until);
+  state.reported_cold_until = std::max(state.reported_cold_until, until);
   if (until <= state.registration.cold_until) {
     return;
   }
   state.registration.cold_until = until;
   state.load.SetColdUntil(until);
-  AddBelief(state, "cold", absl::StrCat("for ", absl::FormatDuration(time_left), ", as it says"));
+  AddStateChange(
+      state, "cold",
+      absl::StrCat("for ", absl::FormatDuration(time_left), ", reported by the back end"));
 }
 
-void ServiceTable::NoteLeaving(BackendState& state, Time now) {
-  if (std::exchange(state.said_leaving, true)) {
+void ServiceTable::RecordLeaving(BackendState& state, Time now) {
+  if (std::exchange(state.reported_leaving, true)) {
     return;
   }
-  const Time last = now + settings_.drain_time - kWayReserve;
+  const Time last = now + settings_.drain_time - kTransitReserve;
   StopNewWork(std::min(now + settings_.drain_grace, last),
               std::min(now + settings_.drain_serving, last), state);
-  AddBelief(state, "draining", "it says so with its answers");
+  AddStateChange(state, "draining", "announced in its answers");
 }
 
-void ServiceTable::NoteRest(Duration time, BackendState& state, Time now) {
-  const Time until = now + std::min(time, kLongestRest);
-  if (until <= state.rest_until) {
+void ServiceTable::RecordBackoff(Duration time, BackendState& state, Time now) {
+  const Time until = now + std::min(time, kMaxBackoff);
+  if (until <= state.backoff_until) {
     return;
   }
-  // Answers to requests that were under way together ask for the same rest: told once.
-  if (!state.Rests(now)) {
-    AddBelief(state, "resting",
-              absl::StrCat("asked for ", absl::FormatDuration(time),
-                           time > kLongestRest ? ", which is cut" : "", ", at ",
-                           state.load.told().running, " running and ", state.load.told().waiting,
-                           " waiting of ", state.load.slots(), " slots"));
+  // Concurrent requests are answered with the same back-off; report it once.
+  if (!state.InBackoff(now)) {
+    AddStateChange(
+        state, "resting",
+        absl::StrCat("requested a back-off of ", absl::FormatDuration(time),
+                     time > kMaxBackoff ? ", shortened to the maximum" : "", ", at ",
+                     state.load.reported().running, " running and ", state.load.reported().waiting,
+                     " waiting of ", state.load.slots(), " slots"));
   }
-  state.rest_until = until;
+  state.backoff_until = until;
 }
 
-void ServiceTable::MarkGone(const RegistrationUpdate& news, bool may_have_lapsed,
-                            BackendState& state, Time now) {
+void ServiceTable::MarkDeregistered(const RegistrationNews& news, bool may_have_expired,
+                                    BackendState& state, Time now) {
   state.registered = false;
   --registered_count_;
-  state.gone_at = now;
-  const Duration grace = news.store_troubled ? settings_.expiry_grace : settings_.drain_grace;
-  const Time last = may_have_lapsed ? absl::InfiniteFuture()
-                                    : news.changed_after + settings_.drain_time - kWayReserve;
+  state.deregistered_at = now;
+  const Duration grace = news.store_troubled ? settings_.lapse_grace : settings_.drain_grace;
+  const Time last = may_have_expired ? absl::InfiniteFuture()
+                                     : news.changed_after + settings_.drain_time - kTransitReserve;
   StopNewWork(std::min(now + grace, last),
               std::min(now + std::max(settings_.drain_serving, grace), last), state);
-  AddBelief(
+  AddStateChange(
       state, "gone",
       absl::StrCat("its registration disappeared",
-                   news.store_troubled ? " while the store was troubled" : "", AgeOf(news, now)));
+                   news.store_troubled ? " while store calls were failing" : "", AgeOf(news, now)));
 }
 
 void ServiceTable::List(const std::vector<BackendStatePtr>& added) {
@@ -227,7 +233,7 @@
   for (auto& [name, fresh] : by_service) {
     std::vector<BackendStatePtr>& listed = Service(name).backends;
     std::sort(fresh.begin(), fresh.end(), ById);
-    if (fresh.size() <= kInsertedSingly) {
+    if (fresh.size() <= kMaxSingleInserts) {
       for (BackendStatePtr& state : fresh) {
         listed.insert(std::upper_bound(listed.begin(), listed.end(), state, ById), state);
       }
@@ -239,24 +245,24 @@
   }
 }
 
-Time ServiceTable::ForgetDue(const BackendState& state) {
-  const Duration remembered = state.said_leaving ? kRememberLeaving : kForgetAfter;
-  return std::max(state.gone_at + remembered, state.rest_until);
+Time ServiceTable::RetainedUntil(const BackendState& state) {
+  const Duration remembered = state.reported_leaving ? kLeavingRetention : kRetention;
+  return std::max(state.deregistered_at + remembered, state.backoff_until);
 }
 
-void ServiceTable::ForgetGone(Time now) {
-  while (!gone_.empty() && gone_.begin()->first < now) {
-    const BackendStatePtr state = gone_.begin()->second;
-    gone_.erase(gone_.begin());
-    ++looked_at_;
+void ServiceTable::RemoveExpired(Time now) {
+  while (!deregistered_.empty() && deregistered_.begin()->first < now) {
+    const BackendStatePtr state = deregistered_.begin()->second;
+    deregistered_.erase(deregistered_.begin());
+    ++registrations_examined_;
     if (state->registered) {
       continue;
     }
-    const Time due = ForgetDue(*state);
+    const Time due = RetainedUntil(*state);
     if (due >= now) {
-      gone_.emplace(due, state);
+      deregistered_.emplace(due, state);
     } else if (FindBackend(state->registration.id) == state) {
-      Forget(state);
+      Remove(state);
     }
   }
 }
@@ -269,7 +275,7 @@
   }
 }
 
-void ServiceTable::Forget(const BackendStatePtr& state) {
+void ServiceTable::Remove(const BackendStatePtr& state) {
   Unlist(state);
   const std::string id = state->registration.id;
   const auto known = incarnations_.find(std::string(catalog::InstanceOf(id)));
@@ -310,31 +316,30 @@
   return services;
 }
 
-std::vector<BackendStateChange> ServiceTable::TakeStateChanges() {
-  return std::exchange(beliefs_, {});
-}
+std::vector<BackendBelief> ServiceTable::TakeBeliefs() { return std::exchange(state_changes_, {}); }
 
-void ServiceTable::NoteLevel(ServiceState& service, Time now) {
+void ServiceTable::RecordAdmissionLevel(ServiceState& service, Time now) {
   const uint32_t level = service.admission.level();
-  if (level == service.told_level || now - service.told_level_at < kLevelInterval ||
-      beliefs_.size() >= kMaxBeliefs) {
+  if (level == service.reported_level || now - service.level_reported_at < kLevelReportInterval ||
+      state_changes_.size() >= kMaxStateChanges) {
     return;
   }
-  service.told_level = level;
-  service.told_level_at = now;
+  service.reported_level = level;
+  service.level_reported_at = now;
   const bool limited = level != admission::ServiceAdmission::kNoLevel;
-  std::string detail = absl::StrFormat("queues last %.0f ms",
+  std::string detail = absl::StrFormat("queueing delay %.0f ms",
                                        absl::ToDoubleMilliseconds(service.admission.Delay(now)));
   if (limited) {
-    absl::StrAppendFormat(&detail, ", %.2f is let through, rank %u gets %.2f",
-                          service.admission.share(), level, service.admission.ShareOf(level));
+    absl::StrAppendFormat(&detail, ", %.2f admitted, rank %u gets %.2f", service.admission.share(),
+                          level, service.admission.ShareOf(level));
   }
-  beliefs_.push_back({service.name, limited ? "limited" : "unlimited", std::move(detail)});
+  state_changes_.push_back({service.name, limited ? "limited" : "unlimited", std::move(detail)});
 }
 
-void ServiceTable::AddBelief(const BackendState& backend, std::string event, std::string detail) {
-  if (beliefs_.size() < kMaxBeliefs) {
-    beliefs_.push_back({backend.registration.id, std::move(event), std::move(detail)});
+void ServiceTable::AddStateChange(const BackendState& backend, std::string event,
+                                  std::string detail) {
+  if (state_changes_.size() < kMaxStateChanges) {
+    state_changes_.push_back({backend.registration.id, std::move(event), std::move(detail)});
   }
 }
 
--- a/src/core/load/load_counter.cc
+++ b/src/core/load/load_counter.cc
@@ -7,7 +7,8 @@
 void LoadCounter::AddServiceTime(const std::string& backend, Duration elapsed, bool includes_wait) {
   partition::ServiceTimeSample& sample = samples_[backend];
   if (sample.includes_wait != includes_wait) {
-    // It tells its load now and then. Answers of both kinds cannot be summed up in one sample.
+    // The back end reports its load only in some answers. Samples with and without queueing time
+    // cannot be added up, so start a new sample.
     sample = {};
     sample.includes_wait = includes_wait;
   }
@@ -27,7 +28,7 @@
     sample.backend = backend;
     load.samples.push_back(std::move(sample));
   }
-  load.denied_key = std::exchange(denied_, std::nullopt);
+  load.not_owner_key = std::exchange(not_owner_key_, std::nullopt);
   load.declined = std::exchange(declined_, {});
   keys_.clear();
   samples_.clear();
--- a/tests/unit/forwarding/ill_back_end_replay.h
+++ b/tests/unit/forwarding/ill_back_end_replay.h
@@ -1,5 +1,5 @@
-// Plays a steady load against back ends of which some are ill, on simulated time, and counts what
-// became of the requests and how often they were sent again.
+// Simulates a steady load on back ends of which some are faulty, and counts the results and retries
+// of the requests.
 #pragma once
 
 #include <map>
@@ -11,52 +11,54 @@
 
 namespace ladderstream::forwarding {
 
-/// How an ill back end fails a request.
-enum class Illness {
-  /// It turns it away, with free slots by its own word.
+/// How a faulty back end fails a request.
+enum class FaultKind {
+  /// Rejects it although it reports free slots.
   kSheds,
-  /// It turns it away and says that all its slots and its queue are taken.
-  kClaimsToBeFull,
-  /// It resets the connection.
+  /// Rejects it and reports that all its slots and its queue are full.
+  kReportsFull,
+  /// Resets the connection.
   kResets,
-  /// It never answers.
+  /// Never answers.
   kHangs,
-  /// It answers with an error of its own.
+  /// Answers with an application error.
   kErrors,
-  /// It takes eight times as long.
+  /// Takes eight times as long.
   kSlow,
 };
 
-struct IllnessPlay {
+struct FaultScenario {
   std::string service = "cards";
   int backends = 8;
-  int ill = 1;
-  Illness illness = Illness::kSheds;
-  /// The share of its requests that an ill back end fails.
+  int faulty = 1;
+  FaultKind fault = FaultKind::kSheds;
+  /// The share of its requests that a faulty back end fails.
   double failure_share = 0.5;
   Duration between_requests = absl::Milliseconds(10);
   Duration service_time = absl::Milliseconds(60);
-  /// Before the illness, of the illness, and after it.
-  Duration well = absl::Seconds(2);
-  Duration length = absl::Seconds(10);
-  Duration recovered = absl::Seconds(5);
+  /// Durations before, during and after the fault.
+  Duration healthy_time = absl::Seconds(2);
+  Duration fault_time = absl::Seconds(10);
+  Duration recovery_time = absl::Seconds(5);
   uint64_t seed = 1;
 };
 
-/// Of the requests that came while back ends were ill.
-struct IllnessOutcome {
+/// Counts of the requests that arrived during the fault.
+struct FaultOutcome {
   int requests = 0;
   int served = 0;
-  /// Final answers of the node that say that the request has not run, and other failures.
+  /// `refused` counts final answers of the node that state that the request has not run; `failed`
+  /// counts other failures.
   int refused = 0;
   int failed = 0;
   int sends = 0;
   int sent_again = 0;
-  int sent_to_ill = 0;
-  /// The share of the requests that formerly ill back ends got in the last second of `recovered`.
+  int sent_to_faulty = 0;
+  /// The share of the requests that formerly faulty back ends got in the last second of
+  /// `recovery_time`.
   double share_after = 0;
 };
 
-IllnessOutcome Play(const IllnessPlay& play);
+FaultOutcome Replay(const FaultScenario& scenario);
 
 }  // namespace ladderstream::forwarding
