--- a/src/core/membership/table_relay.cc
+++ b/src/core/membership/table_relay.cc
@@ -79,7 +79,7 @@
   leading_ = leading;
   for (store::TableFollower* follower : followers_) {
     if (leading) {
-      follower->ResumeAtOnce();
+      follower->ResumeImmediately();
     } else {
       follower->Resume();
     }
@@ -92,7 +92,7 @@
   for (store::TableFollower* follower : followers_) {
     follower->OnResumed();
     if (leading_) {
-      follower->WatchAnew();
+      follower->RestartWatch();
     }
   }
 }
@@ -105,7 +105,7 @@
   if (anew) {
     watched_anew_ = sent;
     for (store::TableFollower* follower : followers_) {
-      follower->WatchAnew();
+      follower->RestartWatch();
     }
   }
   for (store::TableFollower* follower : followers_) {
--- a/src/core/store/back_off.cc
+++ b/src/core/store/back_off.cc
@@ -6,7 +6,7 @@
 namespace {
 
 /// Further doublings would not change the bound of any sensible setting.
-constexpr uint32_t kMostDoublings = 16;
+constexpr uint32_t kMaxDoublings = 16;
 
 }  // namespace
 
@@ -14,7 +14,7 @@
     : shortest_(shortest), longest_(std::max(shortest, longest)), random_(seed) {}
 
 Duration BackOff::Next() {
-  failures_ = std::min(failures_ + 1, kMostDoublings);
+  failures_ = std::min(failures_ + 1, kMaxDoublings);
   const Duration bound = std::min(longest_, shortest_ * (1U << failures_));
   constexpr double kUnit = 1.0 / 9007199254740992.0;  // 2^-53: a draw in [0, 1)
   const double share = static_cast<double>(random_() >> 11U) * kUnit;
--- a/src/core/store/removal_log.cc
+++ b/src/core/store/removal_log.cc
@@ -6,18 +6,18 @@
 
 void RemovalLog::Restart(RowVersion version) {
   removals_.clear();
-  whole_since_ = version;
+  complete_since_ = version;
 }
 
 void RemovalLog::ForgetUpTo(RowVersion version) {
-  whole_since_ = std::max(whole_since_, version);
+  complete_since_ = std::max(complete_since_, version);
   std::erase_if(removals_, [version](const Removal& one) { return one.version <= version; });
 }
 
 void RemovalLog::Add(const std::string& key, RowVersion version, Time changed_after) {
   removals_.push_back({key, version, changed_after});
   while (removals_.size() > capacity_) {
-    whole_since_ = std::max(whole_since_, removals_.front().version);
+    complete_since_ = std::max(complete_since_, removals_.front().version);
     removals_.pop_front();
   }
 }
--- a/src/core/store/removal_log.h
+++ b/src/core/store/removal_log.h
@@ -29,13 +29,13 @@
   void Add(const std::string& key, RowVersion version, Time changed_after);
 
   /// Every removal after this version is known.
-  RowVersion whole_since() const { return whole_since_; }
+  RowVersion complete_since() const { return complete_since_; }
   /// In the order they were added.
   const std::deque<Removal>& removals() const { return removals_; }
 
  private:
   const size_t capacity_;
-  RowVersion whole_since_ = 0;
+  RowVersion complete_since_ = 0;
   std::deque<Removal> removals_;
 };
 
--- a/src/core/store/store_bounds.cc
+++ b/src/core/store/store_bounds.cc
@@ -10,7 +10,7 @@
 
 }  // namespace
 
-std::string FaultOf(const Transaction& transaction, const StoreBounds& bounds) {
+std::string RejectionReason(const Transaction& transaction, const StoreBounds& bounds) {
   const size_t entries =
       transaction.conditions.size() + transaction.puts.size() + transaction.removals.size();
   if (entries > bounds.transaction_entries) {
--- a/src/core/store/store_bounds.h
+++ b/src/core/store/store_bounds.h
@@ -20,6 +20,6 @@
 };
 
 /// Why a store with these bounds refuses the transaction; empty when it takes it.
-std::string FaultOf(const Transaction& transaction, const StoreBounds& bounds);
+std::string RejectionReason(const Transaction& transaction, const StoreBounds& bounds);
 
 }  // namespace ladderstream::store
--- a/src/core/store/table_follower.cc
+++ b/src/core/store/table_follower.cc
@@ -9,7 +9,7 @@
 namespace {
 
 /// Pages of one reading that are kept before it is given up as endless.
-constexpr size_t kMostRowsRead = 100'000;
+constexpr size_t kMaxRowsRead = 100'000;
 
 const char* NameOfStatus(StoreStatus status) {
   switch (status) {
@@ -34,7 +34,7 @@
 TableFollower::TableFollower(FollowerSettings settings)
     : settings_(std::move(settings)),
       back_off_(settings_.shortest_back_off, settings_.longest_back_off, settings_.seed),
-      removals_(settings_.most_removals) {}
+      removals_(settings_.max_removals) {}
 
 std::optional<FollowerCall> TableFollower::Poll(Time now) {
   if (outstanding_.has_value() && now >= outstanding_->answer_by) {
@@ -81,24 +81,24 @@
   if (!outstanding_.has_value() || outstanding_->call != call) {
     return;
   }
-  const Outstanding asked = *outstanding_;
+  const Outstanding request = *outstanding_;
   outstanding_.reset();
   if (reply.status == StoreStatus::kDone) {
-    if (asked.is_watch) {
-      OnWatchDone(asked, reply, now);
+    if (request.is_watch) {
+      OnWatchDone(request, reply, now);
     } else {
-      OnReadDone(asked, reply, now);
+      OnReadDone(request, reply, now);
     }
     return;
   }
-  if (reply.status == StoreStatus::kHistoryGone && asked.is_watch) {
+  if (reply.status == StoreStatus::kHistoryGone && request.is_watch) {
     OnHistoryGone(reply.detail, now);
     return;
   }
   Fail(absl::StrCat(NameOfStatus(reply.status), " ", reply.detail), now);
 }
 
-void TableFollower::OnReadDone(const Outstanding& asked, const StoreReply& reply, Time now) {
+void TableFollower::OnReadDone(const Outstanding& request, const StoreReply& reply, Time now) {
   if (reply.version < std::max(as_of_, reading_version_)) {
     const bool overtaken_by_merge = merged_while_reading_;
     StartReading();
@@ -111,7 +111,7 @@
     Fail("an answer older than the copy", now);
     return;
   }
-  if (reply.more && (reply.rows.empty() || pages_.size() > kMostRowsRead)) {
+  if (reply.more && (reply.rows.empty() || pages_.size() > kMaxRowsRead)) {
     StartReading();
     Fail("pages without end", now);
     return;
@@ -137,19 +137,19 @@
   if (version >= as_of_) {
     Install(rows, version);
   }
-  Succeed(asked.sent);
+  Succeed(request.sent);
   next_call_ = now;
 }
 
-void TableFollower::OnWatchDone(const Outstanding& asked, const StoreReply& reply, Time now) {
-  if (reply.version < asked.after) {
+void TableFollower::OnWatchDone(const Outstanding& request, const StoreReply& reply, Time now) {
+  if (reply.version < request.after) {
     Fail("an answer older than the copy", now);
     return;
   }
   history_losses_ = 0;
   // Another node's copy may have overtaken this watch; then rows that it tells may be gone since.
-  const RowVersion held = asked.after < as_of_ ? as_of_ : 0;
-  const Time changed_after = WholeUntil(asked, now);
+  const RowVersion held = request.after < as_of_ ? as_of_ : 0;
+  const Time changed_after = CompleteUntil(request, now);
   for (const Row& row : reply.rows) {
     if (row.key.partition != settings_.partition || row.version <= held) {
       continue;
@@ -161,15 +161,15 @@
     }
   }
   as_of_ = std::max(as_of_, reply.version);
-  const Time wait_end = asked.sent + asked.wait;
+  const Time wait_end = request.sent + request.wait;
   const bool waited = reply.rows.empty() && now >= wait_end;
-  Succeed(waited ? wait_end : asked.sent);
+  Succeed(waited ? wait_end : request.sent);
   next_call_ = waited ? now : now + settings_.batch_pause;
 }
 
 void TableFollower::OnHistoryGone(const std::string& detail, Time now) {
   StartReading();
-  deaf_ = true;
+  watch_unreliable_ = true;
   ++history_losses_;
   next_call_ = now;
   if (history_losses_ > 1) {
@@ -186,7 +186,7 @@
 }
 
 void TableFollower::Fail(const std::string& detail, Time now) {
-  deaf_ = true;
+  watch_unreliable_ = true;
   last_failure_ = now;
   last_failure_detail_ = detail;
   if (!failing_since_.has_value() && !Suspended(now)) {
@@ -196,7 +196,7 @@
 }
 
 void TableFollower::Succeed(Time confirmed) {
-  deaf_ = false;
+  watch_unreliable_ = false;
   failing_since_.reset();
   back_off_.Reset();
   last_confirmed_ = std::max(last_confirmed_, confirmed);
@@ -211,16 +211,16 @@
   failing_since_.reset();
 }
 
-void TableFollower::ResumeAtOnce() {
+void TableFollower::ResumeImmediately() {
   Resume();
   settings_.first_watch_pause = absl::ZeroDuration();
   first_watch_due_ = absl::InfinitePast();
   // It may have been sent while the store was silent, and is never answered then: a change of the
   // configuration came to all of 87 nodes 14.6 s late, where 2.5 s are allowed.
-  WatchAnew();
+  RestartWatch();
 }
 
-void TableFollower::WatchAnew() {
+void TableFollower::RestartWatch() {
   if (outstanding_.has_value() && outstanding_->is_watch) {
     outstanding_.reset();
     next_call_ = absl::InfinitePast();
@@ -245,7 +245,7 @@
   }
 }
 
-void TableFollower::NoteGap(RowVersion version) {
+void TableFollower::RecordGap(RowVersion version) {
   if (!known_) {
     removals_.Restart(version);
     return;
@@ -259,7 +259,7 @@
 }
 
 void TableFollower::Install(const std::vector<Row>& rows, RowVersion version) {
-  NoteGap(version);
+  RecordGap(version);
   // A reading comes where a watch was not in order: what it vouched for meanwhile does not count.
   const Time changed_after = last_confirmed_;
   std::set<std::string> present;
@@ -275,7 +275,7 @@
       ++held;
       continue;
     }
-    NoteChange(held->first, changed_after);
+    RecordChange(held->first, changed_after);
     // When it went is not known, only that it was by now.
     newest_change_ = std::max(newest_change_, version);
     removals_.Add(held->first, version, changed_after);
@@ -285,8 +285,8 @@
   known_ = true;
 }
 
-Time TableFollower::WholeUntil(const std::optional<Outstanding>& watch, Time now) const {
-  if (deaf_) {
+Time TableFollower::CompleteUntil(const std::optional<Outstanding>& watch, Time now) const {
+  if (watch_unreliable_) {
     return last_confirmed_;
   }
   const bool waits =
@@ -294,7 +294,7 @@
   return waits ? std::max(watched_until(), now - settings_.watch_delivery) : watched_until();
 }
 
-void TableFollower::NoteChange(const std::string& key, Time changed_after) {
+void TableFollower::RecordChange(const std::string& key, Time changed_after) {
   changed_keys_.insert(key);
   changed_after_ = std::min(changed_after_, changed_after);
 }
@@ -310,7 +310,7 @@
   }
   const VersionedValue value{row.value, row.version, changed_after};
   by_version_.emplace(row.version, rows_.insert_or_assign(row.key.key, value).first);
-  NoteChange(row.key.key, changed_after);
+  RecordChange(row.key.key, changed_after);
 }
 
 void TableFollower::Remove(const Row& row, Time changed_after) {
@@ -321,7 +321,7 @@
     return;
   }
   Erase(held);
-  NoteChange(row.key.key, changed_after);
+  RecordChange(row.key.key, changed_after);
 }
 
 TableRows::iterator TableFollower::Erase(TableRows::iterator row) {
@@ -342,13 +342,13 @@
 RowVersion TableFollower::content_version() const { return std::min(newest_change_, as_of_); }
 
 RowVersion TableFollower::settled_version() const {
-  const RowVersion settled = std::max(content_version(), removals_.whole_since());
+  const RowVersion settled = std::max(content_version(), removals_.complete_since());
   // Changes can be told from the end of a gap on, and not from within.
   return gap_first_ < settled && settled < gap_last_ ? gap_last_ : settled;
 }
 
-bool TableFollower::Troubled(Time now) const {
-  return now - last_failure_ <= settings_.trouble_window;
+bool TableFollower::RecentlyFailed(Time now) const {
+  return now - last_failure_ <= settings_.failure_window;
 }
 
 std::optional<Time> TableFollower::UnansweredSince() const {
--- a/src/core/store/table_follower.h
+++ b/src/core/store/table_follower.h
@@ -45,9 +45,9 @@
   Duration shortest_back_off = absl::Milliseconds(100);
   Duration longest_back_off = absl::Seconds(1);
   /// A failure counts as trouble for this long.
-  Duration trouble_window = absl::Seconds(3);
+  Duration failure_window = absl::Seconds(3);
   /// Removals that are remembered, for copies that lag behind.
-  size_t most_removals = 256;
+  size_t max_removals = 256;
   /// Of the jitter in back-offs.
   uint64_t seed = 0;
 };
@@ -118,12 +118,12 @@
   void Resume() { suspended_until_ = absl::InfinitePast(); }
   /// The same for a copy that other nodes rely on from now on: without any pause after the first
   /// reading, and with a new watch in place of one that is on its way.
-  void ResumeAtOnce();
+  void ResumeImmediately();
   /// The process has not run for a while: an answer may have waited for it, and says of no change
   /// that it happened just now.
-  void OnResumed() { deaf_ = true; }
+  void OnResumed() { watch_unreliable_ = true; }
   /// Sends a new watch in place of one that is on its way, which may never be answered.
-  void WatchAnew();
+  void RestartWatch();
   bool Suspended(Time now) const { return now < suspended_until_; }
   /// The store answered another call of this node, sent then: what the watch has not told by now
   /// has most likely not happened.
@@ -151,7 +151,7 @@
   /// As last_confirmed(), counting a watch in order as proof while the store answers other calls.
   Time watched_until() const { return std::max(watched_until_, last_confirmed_); }
   /// Whether a call failed within the trouble window.
-  bool Troubled(Time now) const;
+  bool RecentlyFailed(Time now) const;
   /// Since when the store has not answered: the first of the failures in a row, or the first call
   /// while the table is unknown. Empty while it answers.
   std::optional<Time> UnansweredSince() const;
@@ -177,8 +177,8 @@
 
   FollowerCall IssueRead(Time now);
   FollowerCall IssueWatch(Time now);
-  void OnReadDone(const Outstanding& asked, const StoreReply& reply, Time now);
-  void OnWatchDone(const Outstanding& asked, const StoreReply& reply, Time now);
+  void OnReadDone(const Outstanding& request, const StoreReply& reply, Time now);
+  void OnWatchDone(const Outstanding& request, const StoreReply& reply, Time now);
   void OnHistoryGone(const std::string& detail, Time now);
   void Fail(const std::string& detail, Time now);
   void Succeed(Time confirmed);
@@ -186,16 +186,16 @@
   /// are newer than `version`.
   void Install(const std::vector<Row>& rows, RowVersion version);
   /// No change that the copy lacks happened before this, as long as `watch` is in order.
-  Time WholeUntil(const std::optional<Outstanding>& watch, Time now) const;
+  Time CompleteUntil(const std::optional<Outstanding>& watch, Time now) const;
   /// Before a whole reading as of `version` is installed: what it lacks went after as_of(), unless
   /// this is the first reading.
-  void NoteGap(RowVersion version);
+  void RecordGap(RowVersion version);
   void Put(const Row& row, Time changed_after);
   /// Gives the row behind it.
   TableRows::iterator Erase(TableRows::iterator row);
   void ForgetVersion(TableRows::iterator row);
   void Remove(const Row& row, Time changed_after);
-  void NoteChange(const std::string& key, Time changed_after);
+  void RecordChange(const std::string& key, Time changed_after);
   void StartReading();
   /// The copy was made newer, and is whole, while it was being read.
   void OvertakeReading();
@@ -237,7 +237,7 @@
   uint32_t history_losses_ = 0;
 
   /// The last call failed, or history was gone: the watch before may have been deaf for long.
-  bool deaf_ = false;
+  bool watch_unreliable_ = false;
   std::optional<Time> failing_since_;
   Time last_failure_ = absl::InfinitePast();
   std::string last_failure_detail_;
--- a/src/core/store/table_follower_sharing.cc
+++ b/src/core/store/table_follower_sharing.cc
@@ -32,7 +32,7 @@
 
 std::optional<TableChanges> TableFollower::ChangesSince(RowVersion base) const {
   const bool in_gap = gap_first_ < base && base < gap_last_;
-  if (!known_ || base < removals_.whole_since() || in_gap) {
+  if (!known_ || base < removals_.complete_since() || in_gap) {
     return std::nullopt;
   }
   TableChanges changes{base,      std::max(base, as_of_), content_version(), {}, gap_first_,
@@ -64,7 +64,7 @@
   const RowVersion held = as_of_;
   // The sender knows how long it may have been deaf, and this copy how long it may have been left
   // without news; the changes may be as old as the longer of the two.
-  const Time changed_after = std::min(WholeUntil(outstanding_, now), changes.changed_after);
+  const Time changed_after = std::min(CompleteUntil(outstanding_, now), changes.changed_after);
   RowVersion newest = held;
   for (const Row& row : changes.rows) {
     if (row.version <= held) {
--- a/src/node/catalog_tables.cc
+++ b/src/node/catalog_tables.cc
@@ -148,7 +148,7 @@
   const catalog::BackendChanges changes = backends_.TakeChanges();
   beliefs_->OnBackends(changes, backend_follower_->as_of(), now - changed_after,
                        SourceOf(*backend_follower_, now));
-  handlers_.on_backends(changes, {backend_follower_->Troubled(now), changed_after});
+  handlers_.on_backends(changes, {backend_follower_->RecentlyFailed(now), changed_after});
 }
 
 }  // namespace ladderstream::node
--- a/tests/unit/drain_bound/leaving_owner_test.cc
+++ b/tests/unit/drain_bound/leaving_owner_test.cc
@@ -87,7 +87,7 @@
       backends.push_back(DispatcherHarness::MakeBackend(key, "scripts"));
     }
     router->ChangeBackends(told_[router].Replace(backends),
-                           {node.backends.Troubled(world_.now), changed_after}, world_.now);
+                           {node.backends.RecentlyFailed(world_.now), changed_after}, world_.now);
   }
 
   /// Whether the node sends a request for a key to the owner now; it is answered at once.
--- a/tests/unit/membership/snapshot_test.cc
+++ b/tests/unit/membership/snapshot_test.cc
@@ -58,7 +58,7 @@
   BOOST_TEST(asker.configuration.rows().at("config").value == "r12");
   BOOST_TEST(asker.backends.rows().at("i-1").version == 50);
   BOOST_TEST((asker.backends.last_confirmed() == kStart));
-  BOOST_TEST(asker.backends.Troubled(later));
+  BOOST_TEST(asker.backends.RecentlyFailed(later));
 }
 
 BOOST_AUTO_TEST_CASE(ALateSnapshotConfirmsFromItsQuestionsSend) {
--- a/tests/unit/ownership/model_store.cc
+++ b/tests/unit/ownership/model_store.cc
@@ -11,7 +11,7 @@
 
 store::StoreReply ModelStore::Apply(const store::Transaction& transaction) {
   store::StoreReply reply;
-  reply.detail = store::FaultOf(transaction, bounds_);
+  reply.detail = store::RejectionReason(transaction, bounds_);
   if (!reply.detail.empty()) {
     reply.status = store::StoreStatus::kInvalid;
     return reply;
--- a/tests/unit/ownership/service_rows_test.cc
+++ b/tests/unit/ownership/service_rows_test.cc
@@ -175,7 +175,7 @@
   node.Settle(OwnerNames(20));
   std::set<std::string> rejected;
   for (const At<CommitAction>& commit : node.commits) {
-    if (FaultOf(commit.sent.transaction, {.row_bytes = 200}).empty()) {
+    if (RejectionReason(commit.sent.transaction, {.row_bytes = 200}).empty()) {
       continue;
     }
     const std::string content = ContentOf(commit.sent.transaction);
--- a/tests/unit/store/changed_after_test.cc
+++ b/tests/unit/store/changed_after_test.cc
@@ -25,7 +25,7 @@
   std::optional<FollowerCall> watch;
 };
 
-BOOST_FIXTURE_TEST_CASE(AWaitingWatchTellsAtOnce, Watching) {
+BOOST_FIXTURE_TEST_CASE(WaitingWatchReportsChangeWithinDeliveryTime, Watching) {
   const Time later = kStart + absl::Seconds(5);
   follower.OnReply(watch->call, Done({Removed("a", 11)}, 11), later);
   BOOST_TEST((follower.changed_after() == later - kDelivery));
@@ -33,7 +33,7 @@
   BOOST_TEST((follower.changed_after() == absl::InfiniteFuture()));
 }
 
-BOOST_FIXTURE_TEST_CASE(AWatchAnsweredAtOnceTellsOfTheTimeBeforeIt, Watching) {
+BOOST_FIXTURE_TEST_CASE(ImmediateAnswerMayReportChangesBeforeTheWatch, Watching) {
   follower.OnReply(watch->call, Done({MakeRow("c", 11)}, 11), kStart + absl::Seconds(5));
   follower.TakeChangedKeys();
   follower.Suspend(kStart + absl::Seconds(7), kStart + absl::Seconds(6));
@@ -44,7 +44,7 @@
   BOOST_TEST((follower.changed_after() == kStart + absl::Seconds(6)));
 }
 
-BOOST_FIXTURE_TEST_CASE(AReadingAfterALostWatchTrustsNothingOfTheWatch, Watching) {
+BOOST_FIXTURE_TEST_CASE(ReadAfterLostWatchIgnoresWatchedUntil, Watching) {
   // The store answered other calls meanwhile, so the watch seemed to be in order.
   follower.OnStoreAnswered(kStart + absl::Seconds(2));
   BOOST_TEST((follower.watched_until() == kStart + absl::Seconds(2)));
@@ -57,7 +57,7 @@
   BOOST_TEST((follower.changed_after() == kStart));
 }
 
-BOOST_FIXTURE_TEST_CASE(TheOldestOfSeveralChangesCounts, Watching) {
+BOOST_FIXTURE_TEST_CASE(OldestOfSeveralChangesDeterminesChangedAfter, Watching) {
   const Time first = kStart + absl::Seconds(5);
   follower.OnReply(watch->call, Done({MakeRow("c", 11)}, 11), first);
   const auto next = follower.Poll(follower.NextWake());
@@ -65,7 +65,7 @@
   BOOST_TEST((follower.changed_after() == first - kDelivery));
 }
 
-BOOST_FIXTURE_TEST_CASE(ATellerThatWasDeafSaysSo, Watching) {
+BOOST_FIXTURE_TEST_CASE(SenderWithLostWatchReportsOldChangedAfter, Watching) {
   const Time now = kStart + absl::Seconds(5);
   Watching other;
   StoreReply lost;
@@ -82,7 +82,7 @@
   BOOST_TEST((follower.changed_after() == kStart));
 }
 
-BOOST_FIXTURE_TEST_CASE(ACopyLeftWithoutNewsTrustsNoPromptTeller, Watching) {
+BOOST_FIXTURE_TEST_CASE(CopyWithoutUpdatesUsesItsOwnLastConfirmation, Watching) {
   follower.OnReply(watch->call, Done({MakeRow("c", 11)}, 11), kStart + absl::Seconds(1));
   follower.TakeChangedKeys();
   follower.Suspend(kStart + absl::Seconds(2), kStart + absl::Seconds(1));
--- a/tests/unit/store/shared_changes_test.cc
+++ b/tests/unit/store/shared_changes_test.cc
@@ -11,20 +11,20 @@
 namespace ladderstream::store {
 namespace {
 
-constexpr size_t kMostRemovals = 3;
+constexpr size_t kMaxRemovals = 3;
 const Time kUntil = kStart + absl::Milliseconds(700);
 
 /// Has read `rows` as of `version`; its watch is on its way.
 struct Copy {
   Copy(const std::vector<Row>& rows, RowVersion version)
-      : follower({.table = kTable, .partition = "", .most_removals = kMostRemovals, .seed = 7}) {
+      : follower({.table = kTable, .partition = "", .max_removals = kMaxRemovals, .seed = 7}) {
     const auto read = follower.Poll(kStart);
     follower.OnReply(read->call, Done(rows, version), kStart);
     watch = follower.Poll(kStart);
   }
 
   /// The watch tells of `rows`; the next one goes out.
-  void Tell(const std::vector<Row>& rows, RowVersion version, Time now = kStart) {
+  void Deliver(const std::vector<Row>& rows, RowVersion version, Time now = kStart) {
     follower.OnReply(watch->call, Done(rows, version), now);
     watch = follower.Poll(follower.NextWake());
   }
@@ -47,7 +47,7 @@
   BOOST_TEST(std::get<WatchQuery>(watch->query).after == 12);
 }
 
-BOOST_AUTO_TEST_CASE(AFailureWhileSuspendedIsNoReasonToAskOthers) {
+BOOST_AUTO_TEST_CASE(FailureWhileSuspendedIsNotUnanswered) {
   Copy copy({}, 10);
   copy.follower.Suspend(kUntil, kStart);
   StoreReply refused;
@@ -56,7 +56,7 @@
   BOOST_TEST(!copy.follower.UnansweredSince().has_value());
 }
 
-BOOST_AUTO_TEST_CASE(AResumedFollowerWatchesAtOnce) {
+BOOST_AUTO_TEST_CASE(ResumedFollowerWatchesImmediately) {
   Copy copy({}, 10);
   copy.follower.OnReply(copy.watch->call, Done({}, 11), kStart);
   const Time later = kStart + absl::Milliseconds(100);
@@ -66,10 +66,10 @@
   BOOST_TEST(copy.follower.Poll(later).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(OnlyWhatChangedIsHandedOn) {
+BOOST_AUTO_TEST_CASE(OnlyChangedRowsAreShared) {
   Copy source({MakeRow("a", 8), MakeRow("b", 9)}, 10);
   Copy target({MakeRow("a", 8), MakeRow("b", 9)}, 10);
-  source.Tell({MakeRow("c", 12), Removed("a", 13)}, 14);
+  source.Deliver({MakeRow("c", 12), Removed("a", 13)}, 14);
   const auto changes = source.follower.ChangesSince(10);
   BOOST_REQUIRE(changes.has_value());
   BOOST_TEST(changes->rows.size() == 2);
@@ -82,14 +82,14 @@
   BOOST_TEST(source.follower.ChangesSince(13)->rows.empty());
 }
 
-BOOST_AUTO_TEST_CASE(ChangesThatTheCopyDoesNotReachUpToAreNotApplied) {
+BOOST_AUTO_TEST_CASE(ChangesWithNewerBaseAreNotApplied) {
   Copy copy({MakeRow("a", 8)}, 10);
   BOOST_TEST(!copy.follower.Apply({11, 14, 13, {MakeRow("c", 13)}}, kStart));
   BOOST_TEST(!copy.Holds("c"));
   BOOST_TEST(copy.follower.as_of() == 10);
 }
 
-BOOST_AUTO_TEST_CASE(OlderChangesBringNothingBack) {
+BOOST_AUTO_TEST_CASE(OlderChangesRestoreNoRemovedRows) {
   Copy copy({MakeRow("a", 20)}, 25);
   // The copy knows that "gone" went at 24, after these changes were made.
   const TableChanges stale{5, 22, 22, {MakeRow("gone", 22), MakeRow("a", 19), Removed("a", 21)}};
@@ -99,26 +99,26 @@
   BOOST_TEST(copy.follower.as_of() == 25);
 }
 
-BOOST_AUTO_TEST_CASE(AWatchThatChangesOvertookBringsOnlyNewerRows) {
+BOOST_AUTO_TEST_CASE(WatchOvertakenByChangesAddsOnlyNewerRows) {
   Copy copy({MakeRow("a", 8)}, 10);
   BOOST_TEST(copy.follower.Apply({10, 14, 13, {Removed("a", 13)}}, kStart));
-  copy.Tell({MakeRow("a", 12), MakeRow("d", 16)}, 16);
+  copy.Deliver({MakeRow("a", 12), MakeRow("d", 16)}, 16);
   BOOST_TEST(!copy.Holds("a"));
   BOOST_TEST(copy.Holds("d"));
   BOOST_TEST(std::get<WatchQuery>(copy.watch->query).after == 16);
 }
 
-BOOST_AUTO_TEST_CASE(ForgottenRemovalsAreNotPassedOver) {
+BOOST_AUTO_TEST_CASE(DiscardedRemovalsMakeOlderBasesUnavailable) {
   Copy source({}, 10);
   for (RowVersion version = 11; version <= 14; ++version) {
-    source.Tell({Removed("row", version)}, version);
+    source.Deliver({Removed("row", version)}, version);
   }
   BOOST_TEST(!source.follower.ChangesSince(10).has_value());
   BOOST_TEST(source.follower.ChangesSince(11).has_value());
   BOOST_TEST(!source.follower.ChangesSince(9).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(AReadingSettlesTheTableOnlyAsOfItself) {
+BOOST_AUTO_TEST_CASE(ReadSettlesTableOnlyAtItsOwnVersion) {
   // A row may have gone between its last change, 8, and the reading, 10.
   Copy copy({MakeRow("a", 8)}, 10);
   BOOST_TEST(copy.follower.settled_version() == 10);
@@ -127,7 +127,7 @@
   BOOST_TEST(copy.follower.settled_version() == 20);
 }
 
-BOOST_AUTO_TEST_CASE(AnsweredCallsVouchOnlyForAWatchInOrder) {
+BOOST_AUTO_TEST_CASE(AnsweredCallsConfirmOnlyAWorkingWatch) {
   Copy copy({}, 10);
   const Time later = kStart + absl::Seconds(1);
   copy.follower.OnStoreAnswered(later);
@@ -137,7 +137,7 @@
   copy.follower.OnStoreAnswered(later + absl::Seconds(1));
   BOOST_TEST((copy.follower.watched_until() == later));
   // The watch tells it, then fails.
-  copy.Tell({MakeRow("a", 12)}, 12, later);
+  copy.Deliver({MakeRow("a", 12)}, 12, later);
   copy.follower.OnStoreAnswered(later + absl::Seconds(2));
   BOOST_TEST((copy.follower.watched_until() == later + absl::Seconds(2)));
   copy.follower.OnReply(copy.watch->call, StoreReply{}, later + absl::Seconds(2));
--- a/tests/unit/store/table_follower_test.cc
+++ b/tests/unit/store/table_follower_test.cc
@@ -58,7 +58,7 @@
 
 using Keys = std::vector<std::string>;
 
-BOOST_FIXTURE_TEST_CASE(WatchesFromTheFirstPagesVersion, Fixture) {
+BOOST_FIXTURE_TEST_CASE(WatchStartsFromVersionOfFirstPage, Fixture) {
   Reply(NextRead(), Done({MakeRow("a", 1)}, 10, true));
   const FollowerCall second = NextRead();
   BOOST_TEST(std::get<ReadQuery>(second.query).from_key == std::string("a\0", 2));
@@ -74,13 +74,13 @@
   NextWatch(14);
 }
 
-BOOST_FIXTURE_TEST_CASE(PagesWithoutEndAreGivenUp, Fixture) {
+BOOST_FIXTURE_TEST_CASE(EmptyPageWithMoreFailsTheRead, Fixture) {
   Reply(NextRead(), Done({}, 10, true));
-  BOOST_TEST(follower.Troubled(now));
+  BOOST_TEST(follower.RecentlyFailed(now));
   BOOST_TEST(std::get<ReadQuery>(NextRead().query).from_key.empty());
 }
 
-BOOST_FIXTURE_TEST_CASE(AWatchChangesAndRemovesRows, Fixture) {
+BOOST_FIXTURE_TEST_CASE(WatchChangesAndRemovesRows, Fixture) {
   Load({MakeRow("a", 1), MakeRow("b", 2)}, 10);
   Reply(NextWatch(10), Done({MakeRow("c", 11), Removed("a", 12), Removed("b", 1)}, 12));
   BOOST_TEST(!follower.rows().contains("a"));
@@ -89,22 +89,22 @@
   BOOST_TEST(follower.content_version() == 12);
 }
 
-BOOST_FIXTURE_TEST_CASE(RowsOfOtherPartitionsAreLeftOut, Fixture) {
+BOOST_FIXTURE_TEST_CASE(RowsOfOtherPartitionsAreIgnored, Fixture) {
   Load({}, 10);
   Reply(NextWatch(10), Done({{{kTable, "other", "a"}, "value", 11, false}}, 11));
   BOOST_TEST(follower.rows().empty());
 }
 
-BOOST_FIXTURE_TEST_CASE(LostHistoryIsReadAnewAndRemovalsAreSeen, Fixture) {
+BOOST_FIXTURE_TEST_CASE(LostHistoryTriggersReadThatDetectsRemovals, Fixture) {
   Load({MakeRow("a", 1), MakeRow("b", 2)}, 10);
   Reply(NextWatch(10), Failed(StoreStatus::kHistoryGone));
-  BOOST_TEST(!follower.Troubled(now));
+  BOOST_TEST(!follower.RecentlyFailed(now));
   Reply(NextRead(), Done({MakeRow("b", 2), MakeRow("c", 15)}, 20));
   BOOST_TEST(follower.TakeChangedKeys() == Keys({"a", "c"}), boost::test_tools::per_element());
   NextWatch(20);
 }
 
-BOOST_FIXTURE_TEST_CASE(HistoryLostAgainAndAgainIsNotReadAtFullSpeed, Fixture) {
+BOOST_FIXTURE_TEST_CASE(RepeatedHistoryLossBacksOff, Fixture) {
   Load({}, 10);
   Reply(NextWatch(10), Failed(StoreStatus::kHistoryGone));
   Load({}, 20);
@@ -113,27 +113,27 @@
   BOOST_TEST(follower.NextWake() >= now + absl::Milliseconds(100));
 }
 
-BOOST_FIXTURE_TEST_CASE(AStaleReadChangesNothing, Fixture) {
+BOOST_FIXTURE_TEST_CASE(StaleReadChangesNothing, Fixture) {
   Load({MakeRow("a", 8, "new")}, 10);
   Reply(NextWatch(10), Failed(StoreStatus::kHistoryGone));
   Reply(NextRead(), Done({MakeRow("a", 5, "old"), MakeRow("gone", 3)}, 9));
   BOOST_TEST(follower.rows().at("a").value == "new");
   BOOST_TEST(!follower.rows().contains("gone"));
   BOOST_TEST(follower.as_of() == 10);
-  BOOST_TEST(follower.Troubled(now));
+  BOOST_TEST(follower.RecentlyFailed(now));
 }
 
-BOOST_FIXTURE_TEST_CASE(AnOlderRowInANewerAnswerIsNotTaken, Fixture) {
+BOOST_FIXTURE_TEST_CASE(OlderRowInNewerAnswerIsIgnored, Fixture) {
   Load({MakeRow("a", 8, "new")}, 10);
   Reply(NextWatch(10), Done({MakeRow("a", 7, "old")}, 11));
   BOOST_TEST(follower.rows().at("a").value == "new");
 }
 
-BOOST_FIXTURE_TEST_CASE(AnAnswerToAnAbandonedCallIsIgnored, Fixture) {
+BOOST_FIXTURE_TEST_CASE(AnswerToAbandonedCallIsIgnored, Fixture) {
   const FollowerCall late = NextRead();
   now += late.timeout;
   BOOST_TEST(!follower.Poll(now).has_value());
-  BOOST_TEST(follower.Troubled(now));
+  BOOST_TEST(follower.RecentlyFailed(now));
   Reply(late, Done({MakeRow("a", 1)}, 10));
   BOOST_TEST(!follower.known());
 }
@@ -153,14 +153,14 @@
   BOOST_TEST(follower.NextWake() - now <= absl::Milliseconds(200));
 }
 
-BOOST_FIXTURE_TEST_CASE(ChangesInQuickSuccessionCostOneCall, Fixture) {
+BOOST_FIXTURE_TEST_CASE(ChangesInQuickSuccessionAreBatched, Fixture) {
   Load({}, 10);
   Reply(NextWatch(10), Done({MakeRow("a", 11)}, 11));
   BOOST_TEST(!follower.Poll(now).has_value());
   BOOST_TEST(follower.NextWake() == now + absl::Milliseconds(50));
 }
 
-BOOST_FIXTURE_TEST_CASE(ALongWatchConfirmsUntilItsEnd, Fixture) {
+BOOST_FIXTURE_TEST_CASE(LongWatchConfirmsUntilItsEnd, Fixture) {
   Load({}, 10);
   const Time sent = now;
   const FollowerCall watch = NextWatch(10);
@@ -176,18 +176,18 @@
   BOOST_TEST(follower.last_confirmed() == next_sent);
 }
 
-BOOST_FIXTURE_TEST_CASE(TroubleEndsAfterItsWindow, Fixture) {
+BOOST_FIXTURE_TEST_CASE(RecentFailureExpiresAfterWindow, Fixture) {
   Load({}, 10);
   Reply(NextWatch(10), Failed(StoreStatus::kRefused));
   const Time failed = now;
   BOOST_TEST((follower.UnansweredSince() == failed));
   Reply(NextWatch(10), Done({MakeRow("a", 11)}, 11));
   BOOST_TEST(!follower.UnansweredSince().has_value());
-  BOOST_TEST(follower.Troubled(failed + absl::Seconds(3)));
-  BOOST_TEST(!follower.Troubled(failed + absl::Milliseconds(3001)));
+  BOOST_TEST(follower.RecentlyFailed(failed + absl::Seconds(3)));
+  BOOST_TEST(!follower.RecentlyFailed(failed + absl::Milliseconds(3001)));
 }
 
-BOOST_FIXTURE_TEST_CASE(AMergeIsTakenOnlyWhenNewer, Fixture) {
+BOOST_FIXTURE_TEST_CASE(MergeIsAppliedOnlyWhenNewer, Fixture) {
   Load({MakeRow("a", 8), MakeRow("b", 9)}, 10);
   BOOST_TEST(!follower.Merge({MakeRow("a", 5, "old")}, 10, now, now));
   BOOST_TEST(follower.rows().size() == 2);
@@ -197,7 +197,7 @@
   BOOST_TEST(follower.content_version() == 12);
 }
 
-BOOST_FIXTURE_TEST_CASE(AMergeKeepsRowsNewerThanItself, Fixture) {
+BOOST_FIXTURE_TEST_CASE(MergeKeepsNewerRows, Fixture) {
   // The second page was read later than the first: its row is newer than the copy as a whole.
   Reply(NextRead(), Done({MakeRow("a", 1)}, 10, true));
   Reply(NextRead(), Done({MakeRow("b", 14)}, 14));
@@ -207,7 +207,7 @@
   BOOST_TEST(follower.rows().contains("b"));
 }
 
-BOOST_FIXTURE_TEST_CASE(AWatchOvertakenByAMergeBringsNothingBack, Fixture) {
+BOOST_FIXTURE_TEST_CASE(WatchOvertakenByMergeRestoresNoRemovedRows, Fixture) {
   Load({MakeRow("a", 8)}, 10);
   const FollowerCall watch = NextWatch(10);
   BOOST_TEST(follower.Merge({}, 12, now, now));
@@ -216,16 +216,16 @@
   NextWatch(12);
 }
 
-BOOST_FIXTURE_TEST_CASE(AMergeWhileReadingIsNotUndoneByTheReading, Fixture) {
+BOOST_FIXTURE_TEST_CASE(MergeDuringReadIsNotUndone, Fixture) {
   const FollowerCall read = NextRead();
   BOOST_TEST(follower.Merge({MakeRow("a", 12)}, 12, now, now));
   Reply(read, Done({MakeRow("b", 8)}, 10));
   BOOST_TEST(!follower.rows().contains("b"));
-  BOOST_TEST(!follower.Troubled(now));
+  BOOST_TEST(!follower.RecentlyFailed(now));
   NextWatch(12);
 }
 
-BOOST_FIXTURE_TEST_CASE(ASilentWatchIsLostOnceAChangeIsKnownElsewhere, Fixture) {
+BOOST_FIXTURE_TEST_CASE(UnresponsiveWatchFailsOnceNewerVersionIsExpected, Fixture) {
   Load({}, 10);
   NextWatch(10);
   follower.ExpectVersion(10, now);
@@ -234,7 +234,7 @@
   BOOST_TEST(follower.NextWake() == now + absl::Seconds(1));
   now = follower.NextWake();
   follower.Poll(now);
-  BOOST_TEST(follower.Troubled(now));
+  BOOST_TEST(follower.RecentlyFailed(now));
   NextWatch(10);
 }
 
