--- a/src/core/store/back_off.h
+++ b/src/core/store/back_off.h
@@ -1,4 +1,4 @@
-// How long to wait after failures in a row: doubling, with jitter.
+// Exponential back-off with jitter for consecutive failures.
 #pragma once
 
 #include <cstdint>
@@ -10,12 +10,13 @@
 
 class BackOff {
  public:
-  /// Equal seeds give equal waits.
+  /// Equal seeds produce equal sequences of waits.
   BackOff(Duration shortest, Duration longest, uint64_t seed);
 
-  /// The wait after one more failure: between `shortest` and a bound that doubles up to `longest`.
+  /// Records a failure and returns the wait that follows it: a random time between `shortest` and a
+  /// bound that doubles with each failure up to `longest`.
   Duration Next();
-  /// Something went well: the next wait is a short one.
+  /// Records a success: the next wait starts from the shortest bound again.
   void Reset() { failures_ = 0; }
 
  private:
--- a/src/core/store/removal_log.h
+++ b/src/core/store/removal_log.h
@@ -1,4 +1,4 @@
-// The rows of a table that went lately, with the versions of their removals.
+// A bounded log of the rows recently removed from a table, with the versions of their removals.
 #pragma once
 
 #include <cstddef>
@@ -17,20 +17,20 @@
   struct Removal {
     std::string key;
     RowVersion version = 0;
-    /// As in VersionedValue.
+    /// See VersionedValue::changed_after.
     Time changed_after = absl::InfinitePast();
   };
 
-  /// Forgets everything: removals are known from `version` on.
+  /// Clears the log; it is complete for removals after `version`.
   void Restart(RowVersion version);
-  /// Forgets removals as of this version and earlier ones.
+  /// Discards removals at or below `version`.
   void ForgetUpTo(RowVersion version);
-  /// The oldest removal is forgotten when there are too many.
+  /// Adds a removal; discards the oldest one when the log exceeds its capacity.
   void Add(const std::string& key, RowVersion version, Time changed_after);
 
-  /// Every removal after this version is known.
+  /// The log holds every removal after this version.
   RowVersion complete_since() const { return complete_since_; }
-  /// In the order they were added.
+  /// Removals in the order in which they were added.
   const std::deque<Removal>& removals() const { return removals_; }
 
  private:
--- a/src/core/store/store_bounds.h
+++ b/src/core/store/store_bounds.h
@@ -1,4 +1,4 @@
-// How large a transaction a metadata store takes.
+// Size limits of the transactions that a metadata store accepts.
 #pragma once
 
 #include <cstddef>
@@ -8,18 +8,18 @@
 
 namespace ladderstream::store {
 
-/// As the platform states them.
+/// The defaults are the limits documented by the platform.
 struct StoreBounds {
   size_t key_bytes = 200;
-  /// Of a value before it is encoded.
+  /// Limit of a row's value before encoding.
   size_t row_bytes = 65536;
-  /// Conditions, puts and removals together.
+  /// Limit of conditions, puts and removals together.
   size_t transaction_entries = 100;
-  /// Of all values, encoded.
+  /// Limit of the base64-encoded size of all values together.
   size_t transaction_bytes = 1'000'000;
 };
 
-/// Why a store with these bounds refuses the transaction; empty when it takes it.
+/// Returns why a store with these bounds rejects the transaction; empty when it accepts it.
 std::string RejectionReason(const Transaction& transaction, const StoreBounds& bounds);
 
 }  // namespace ladderstream::store
--- a/src/core/store/table_follower.cc
+++ b/src/core/store/table_follower.cc
@@ -8,7 +8,7 @@
 namespace ladderstream::store {
 namespace {
 
-/// Pages of one reading that are kept before it is given up as endless.
+/// Rows kept of one read before it fails as endless.
 constexpr size_t kMaxRowsRead = 100'000;
 
 const char* NameOfStatus(StoreStatus status) {
@@ -39,7 +39,7 @@
 std::optional<FollowerCall> TableFollower::Poll(Time now) {
   if (outstanding_.has_value() && now >= outstanding_->answer_by) {
     outstanding_.reset();
-    Fail("no answer in time", now);
+    Fail("timed out waiting for a reply", now);
   }
   if (outstanding_.has_value() || now < std::max(next_call_, first_watch_due_) || Suspended(now)) {
     return std::nullopt;
@@ -103,17 +103,19 @@
     const bool overtaken_by_merge = merged_while_reading_;
     StartReading();
     if (overtaken_by_merge) {
-      // The copy is newer than what was being read, and whole: go on from it.
+      // The merged copy is complete and newer than this read: continue from it.
       reading_ = false;
       Succeed(last_confirmed_);
       return;
     }
-    Fail("an answer older than the copy", now);
+    Fail("read returned a version older than the copy", now);
     return;
   }
   if (reply.more && (reply.rows.empty() || pages_.size() > kMaxRowsRead)) {
     StartReading();
-    Fail("pages without end", now);
+    Fail(reply.rows.empty() ? "read returned an empty page with more to follow"
+                            : "read exceeds the row limit",
+         now);
     return;
   }
   if (next_page_key_.empty()) {
@@ -133,7 +135,7 @@
   if (!known_) {
     first_watch_due_ = now + settings_.first_watch_pause;
   }
-  // Pages are as of different moments; only the first one's version is certain for all of them.
+  // Pages are read at different versions; only the first page's version holds for all of them.
   if (version >= as_of_) {
     Install(rows, version);
   }
@@ -143,11 +145,14 @@
 
 void TableFollower::OnWatchDone(const Outstanding& request, const StoreReply& reply, Time now) {
   if (reply.version < request.after) {
-    Fail("an answer older than the copy", now);
+    Fail(absl::StrCat("watch returned version ", reply.version, ", expected at least ",
+                      request.after),
+         now);
     return;
   }
   history_losses_ = 0;
-  // Another node's copy may have overtaken this watch; then rows that it tells may be gone since.
+  // Another node's copy may have overtaken this watch; rows in its reply may have been removed
+  // since.
   const RowVersion held = request.after < as_of_ ? as_of_ : 0;
   const Time changed_after = CompleteUntil(request, now);
   for (const Row& row : reply.rows) {
@@ -173,8 +178,8 @@
   ++history_losses_;
   next_call_ = now;
   if (history_losses_ > 1) {
-    // Reading anew did not help: do not turn in a circle at full speed.
-    Fail(absl::StrCat("history gone again ", detail), now);
+    // Rereading did not help: back off instead of rereading in a tight loop.
+    Fail(absl::StrCat("history gone again after a reread: ", detail), now);
   }
 }
 
@@ -215,8 +220,8 @@
   Resume();
   settings_.first_watch_pause = absl::ZeroDuration();
   first_watch_due_ = absl::InfinitePast();
-  // It may have been sent while the store was silent, and is never answered then: a change of the
-  // configuration came to all of 87 nodes 14.6 s late, where 2.5 s are allowed.
+  // A watch sent while the store was unresponsive may never be answered: a configuration change
+  // once reached all of 87 nodes 14.6 s late, where 2.5 s are allowed.
   RestartWatch();
 }
 
@@ -251,7 +256,7 @@
     return;
   }
   if (version > as_of_) {
-    // Of an earlier gap nothing more is told: who is older than its end has to watch.
+    // Only one gap is kept: copies older than the end of the previous gap must read the store.
     removals_.ForgetUpTo(gap_last_);
     gap_first_ = as_of_;
     gap_last_ = version;
@@ -260,7 +265,7 @@
 
 void TableFollower::Install(const std::vector<Row>& rows, RowVersion version) {
   RecordGap(version);
-  // A reading comes where a watch was not in order: what it vouched for meanwhile does not count.
+  // A full read follows a failed watch, so watched_until() does not count as confirmation here.
   const Time changed_after = last_confirmed_;
   std::set<std::string> present;
   for (const Row& row : rows) {
@@ -276,7 +281,7 @@
       continue;
     }
     RecordChange(held->first, changed_after);
-    // When it went is not known, only that it was by now.
+    // The exact version of the removal is unknown; it is at most `version`.
     newest_change_ = std::max(newest_change_, version);
     removals_.Add(held->first, version, changed_after);
     held = Erase(held);
@@ -343,7 +348,7 @@
 
 RowVersion TableFollower::settled_version() const {
   const RowVersion settled = std::max(content_version(), removals_.complete_since());
-  // Changes can be told from the end of a gap on, and not from within.
+  // ChangesSince() works from the end of a gap on, but not from inside it.
   return gap_first_ < settled && settled < gap_last_ ? gap_last_ : settled;
 }
 
--- a/src/core/store/table_follower.h
+++ b/src/core/store/table_follower.h
@@ -1,9 +1,10 @@
-// Keeps a copy of one table of the metadata store current: reads it once, then watches it.
+// Maintains a copy of one metadata store table: reads the table once, then watches it for changes.
 //
-// Pure: calls out, replies and time in; no I/O, no thread, no clock. At most one call is
-// outstanding. The copy never goes back: no row is replaced by an older one, and no answer as of an
-// older moment undoes what a newer one said. While another node keeps the copy current, it can be
-// suspended and then makes no call. docs/design/014 describes what it is used for.
+// A deterministic state machine: the caller passes in replies and the time and performs the calls
+// that Poll returns. It does no I/O, starts no thread and reads no clock. At most one call is
+// outstanding. The copy is monotonic: no row is replaced by an older one, and a reply at an older
+// version never undoes changes of a newer one. While another node keeps the copy current, the
+// follower can be suspended and then issues no calls.
 #pragma once
 
 #include <algorithm>
@@ -26,67 +27,67 @@
 struct FollowerSettings {
   std::string table;
   std::string partition;
-  /// How long the store holds a watch when nothing changes.
+  /// How long the store holds a watch open when nothing changes.
   Duration watch_wait = absl::Seconds(20);
-  /// A watch without an answer this long after `watch_wait` counts as lost; so does one that stays
-  /// silent this long after a change is known that it should have told.
+  /// A watch fails when it has no reply this long after `watch_wait`, or this long after the
+  /// follower learned of a change that the watch should have reported.
   Duration watch_grace = absl::Seconds(1);
-  /// A store and a connection in order bring a waiting watch its answer within this after a change:
-  /// some 10 ms in order, and what a loop may be behind: a request took 0.85 s through an
-  /// overloaded node.
+  /// Upper bound on the time from a change to the reply of a waiting watch while store and
+  /// connection work. Delivery takes some 10 ms; the rest covers a delayed event loop: a request
+  /// took 0.85 s through an overloaded node.
   Duration watch_delivery = absl::Seconds(1);
   Duration read_timeout = absl::Seconds(1);
-  /// Pause between an answer that came at once and the next watch, so that changes in quick
-  /// succession cost one call.
+  /// Pause between a watch that reported a change and the next watch, so that changes in quick
+  /// succession are batched into one call.
   Duration batch_pause = absl::Milliseconds(50);
-  /// Pause between the first reading and the first watch: by then another node may keep the copy
-  /// current.
+  /// Pause between the first read and the first watch. Another node may keep the copy current by
+  /// then, which makes the watch unnecessary.
   Duration first_watch_pause = absl::ZeroDuration();
   Duration shortest_back_off = absl::Milliseconds(100);
   Duration longest_back_off = absl::Seconds(1);
-  /// A failure counts as trouble for this long.
+  /// How long RecentlyFailed() reports a failure.
   Duration failure_window = absl::Seconds(3);
-  /// Removals that are remembered, for copies that lag behind.
+  /// Removals kept so that ChangesSince() can serve copies that lag behind.
   size_t max_removals = 256;
-  /// Of the jitter in back-offs.
+  /// Seed of the back-off jitter.
   uint64_t seed = 0;
 };
 
-/// A call to make. `call` comes back with its reply.
+/// A call to the store. `call` identifies it and is passed to OnReply with the reply.
 struct FollowerCall {
   uint64_t call = 0;
   std::variant<ReadQuery, WatchQuery> query;
-  /// The follower stops waiting after this; the connection should then be dropped.
+  /// The follower abandons the call after this time; the caller should then close the connection.
   Duration timeout;
 };
 
 struct VersionedValue {
   std::string value;
   RowVersion version = 0;
-  /// The row changed to this after then; in the infinite past when nothing tells.
+  /// The row changed to this value after this time; infinite past when unknown.
   Time changed_after = absl::InfinitePast();
 };
 
-/// Rows by key.
+/// Rows of the copy by key.
 using TableRows = std::map<std::string, VersionedValue>;
 
-/// What leads from any copy that holds every change up to `base` to one up to `version`.
+/// The changes that bring a copy that is complete up to `base` to `version`.
 struct TableChanges {
   RowVersion base = 0;
   RowVersion version = 0;
-  /// The last change of the table up to `version`, whether its row is among `rows` or not.
+  /// Version of the table's last change up to `version`, whether or not `rows` contains its row.
   RowVersion newest_change = 0;
-  /// Rows changed or removed after `base`.
+  /// Rows that changed or were removed after `base`.
   std::vector<Row> rows;
-  /// Between these versions the table was read anew instead of watched. A row that both appeared
-  /// and went there is not told of: a copy as of a version in between may hold it, and takes
-  /// nothing.
+  /// Between these versions the table was reread instead of watched. A row that was both added and
+  /// removed in the gap is missing from `rows`; a copy at a version inside the gap may hold such a
+  /// row and must not apply these changes. Equal when there is no gap.
   RowVersion gap_first = 0;
   RowVersion gap_last = 0;
-  /// None of `rows` changed before.
+  /// No row in `rows` changed before this time.
   Time changed_after = absl::InfiniteFuture();
 
-  /// Whether a copy that is whole up to `version` may hold rows that these changes say nothing of.
+  /// Whether a copy that is complete up to `version` may hold rows that these changes omit.
   bool InGap(RowVersion version) const { return gap_first < version && version < gap_last; }
 };
 
@@ -96,73 +97,78 @@
   TableFollower(const TableFollower&) = delete;
   TableFollower& operator=(const TableFollower&) = delete;
 
-  /// The call to make now, if one is due. An outstanding call that is overdue counts as failed; its
-  /// late reply is ignored.
+  /// Returns the call to issue now, if one is due. An overdue outstanding call is failed and its
+  /// late reply ignored.
   std::optional<FollowerCall> Poll(Time now);
-  /// When Poll is due next, if no reply comes before.
+  /// Returns when Poll is due next if no reply arrives earlier.
   Time NextWake() const;
   void OnReply(uint64_t call, const StoreReply& reply, Time now);
 
-  /// Takes over another node's copy, which held exactly `rows` as of `version` and was confirmed
-  /// at `confirmed`. Gives false, and changes nothing, when this copy is as new or newer.
+  /// Replaces this copy by another node's, which held exactly `rows` at `version` and was confirmed
+  /// at `confirmed`. Rows newer than `version` are kept. Returns false and changes nothing when
+  /// this copy is as new or newer.
   bool Merge(const std::vector<Row>& rows, RowVersion version, Time confirmed, Time now);
-  /// What a copy that is whole up to `base` lacks; empty when this one does not know.
+  /// Returns the changes missing from a copy that is complete up to `base`, or nothing when they
+  /// are no longer known.
   std::optional<TableChanges> ChangesSince(RowVersion base) const;
-  /// Takes over what another node's copy has that this one lacks. Gives false, and changes nothing,
-  /// when this copy does not reach up to the changes' base.
+  /// Applies changes from another node's copy. Returns false and changes nothing when this copy is
+  /// unknown, older than the base of the changes, or inside their gap.
   bool Apply(const TableChanges& changes, Time now);
-  /// Makes no call before `until`: another node, whose copy was confirmed at `confirmed`, keeps
-  /// this one current. A watch on its way stays there. Without effect while the table is unknown.
+  /// Issues no calls before `until`, because another node, whose copy was confirmed at `confirmed`,
+  /// keeps this copy current. An outstanding watch is not cancelled. Has no effect until the table
+  /// is known.
   void Suspend(Time until, Time confirmed);
-  /// Watches again, from as_of().
+  /// Ends the suspension; the next watch continues from as_of().
   void Resume() { suspended_until_ = absl::InfinitePast(); }
-  /// The same for a copy that other nodes rely on from now on: without any pause after the first
-  /// reading, and with a new watch in place of one that is on its way.
+  /// As Resume(), for a copy that other nodes rely on from now on: skips the pause after the first
+  /// read and replaces an outstanding watch.
   void ResumeImmediately();
-  /// The process has not run for a while: an answer may have waited for it, and says of no change
-  /// that it happened just now.
+  /// Records that the process was suspended. A reply may have been waiting since, so it is no
+  /// evidence that the changes in it are recent.
   void OnResumed() { watch_unreliable_ = true; }
-  /// Sends a new watch in place of one that is on its way, which may never be answered.
+  /// Replaces an outstanding watch, which may never be answered, by a new one.
   void RestartWatch();
   bool Suspended(Time now) const { return now < suspended_until_; }
-  /// The store answered another call of this node, sent then: what the watch has not told by now
-  /// has most likely not happened.
+  /// Records that the store answered another call of this node, sent at `sent`. Changes that a
+  /// working watch has not reported by then have most likely not happened.
   void OnStoreAnswered(Time sent);
-  /// Changes the setting: with many nodes, each may call the store less often.
+  /// Sets the batch pause, so that each of many nodes can call the store less often.
   void SetBatchPause(Duration pause) { settings_.batch_pause = pause; }
-  /// Changes the setting, from the next watch on.
+  /// Sets the watch wait, from the next watch on.
   void SetWatchWait(Duration wait) { settings_.watch_wait = wait; }
-  /// Another node knows of a change as of `version`: a watch that misses it is lost.
+  /// Records that another node knows of a change at `version`. An outstanding watch that does not
+  /// report it within the watch grace fails.
   void ExpectVersion(RowVersion version, Time now);
 
   const FollowerSettings& settings() const { return settings_; }
   const TableRows& rows() const { return rows_; }
-  /// Whether the table was ever read or merged.
+  /// Whether the table was ever read or merged completely.
   bool known() const { return known_; }
-  /// The copy holds every change up to this version of the store, and may hold newer ones.
+  /// The copy holds every change up to this store version and may hold newer ones.
   RowVersion as_of() const { return as_of_; }
-  /// The last change of this table that the copy holds, not above as_of().
+  /// Returns the version of the last change of this table that the copy holds, at most as_of().
   RowVersion content_version() const;
-  /// The table did not change between this version and as_of(), neither by removals.
+  /// Returns a version since which the table has not changed, removals included, up to as_of().
   RowVersion settled_version() const;
-  /// When the copy was last known to be the newest: the send of the last answered call, or the end
-  /// of a watch in which nothing changed. In the infinite past when it never was.
+  /// When the copy was last known to be current: the send time of the last answered call, or the
+  /// end of a watch in which nothing changed. Infinite past when it never was.
   Time last_confirmed() const { return last_confirmed_; }
-  /// As last_confirmed(), counting a watch in order as proof while the store answers other calls.
+  /// As last_confirmed(), but a working watch also counts as confirmation while the store answers
+  /// other calls.
   Time watched_until() const { return std::max(watched_until_, last_confirmed_); }
-  /// Whether a call failed within the trouble window.
+  /// Whether a call failed within the failure window.
   bool RecentlyFailed(Time now) const;
-  /// Since when the store has not answered: the first of the failures in a row, or the first call
-  /// while the table is unknown. Empty while it answers.
+  /// Returns since when the store has not answered: the first of the consecutive failures, or the
+  /// first call while the table is unknown. Empty while the store answers.
   std::optional<Time> UnansweredSince() const;
-  /// Why the last failed call failed; for logs.
+  /// The reason of the last failed call, for logs.
   const std::string& last_failure() const { return last_failure_detail_; }
 
-  /// The keys whose rows changed, appeared or went since the last call.
+  /// Returns the keys whose rows were added, changed or removed since the last call.
   std::vector<std::string> TakeChangedKeys();
-  /// None of the changes that TakeChangedKeys gives next happened before this; in the infinite
-  /// future when there are none. What a node allows itself for some time after a change counts from
-  /// here: it may hear of the change much later.
+  /// None of the changes that the next TakeChangedKeys returns happened before this time; infinite
+  /// future when there are none. Periods that a node counts from a change start here, because the
+  /// node may learn of the change much later.
   Time changed_after() const { return changed_after_; }
 
  private:
@@ -182,28 +188,29 @@
   void OnHistoryGone(const std::string& detail, Time now);
   void Fail(const std::string& detail, Time now);
   void Succeed(Time confirmed);
-  /// Makes the copy that of a whole reading: newer rows replace, and missing ones go unless they
-  /// are newer than `version`.
+  /// Installs the rows of a full read: newer rows replace held ones, and held rows that are missing
+  /// are erased unless they are newer than `version`.
   void Install(const std::vector<Row>& rows, RowVersion version);
-  /// No change that the copy lacks happened before this, as long as `watch` is in order.
+  /// Returns the time up to which the copy is complete: provided that `watch` works, no change that
+  /// the copy lacks happened before it.
   Time CompleteUntil(const std::optional<Outstanding>& watch, Time now) const;
-  /// Before a whole reading as of `version` is installed: what it lacks went after as_of(), unless
-  /// this is the first reading.
+  /// Records the gap between as_of() and a full read at `version` that is about to be installed:
+  /// rows missing from it were removed in between. The first read leaves no gap.
   void RecordGap(RowVersion version);
   void Put(const Row& row, Time changed_after);
-  /// Gives the row behind it.
+  /// Erases the row and returns the iterator to the next one.
   TableRows::iterator Erase(TableRows::iterator row);
   void ForgetVersion(TableRows::iterator row);
   void Remove(const Row& row, Time changed_after);
   void RecordChange(const std::string& key, Time changed_after);
   void StartReading();
-  /// The copy was made newer, and is whole, while it was being read.
+  /// Ends a read that was overtaken: the copy has become newer from another source and is complete.
   void OvertakeReading();
 
   FollowerSettings settings_;
   BackOff back_off_;
   TableRows rows_;
-  /// `rows_` by version, so that telling a change does not look at all rows.
+  /// `rows_` by version, so that ChangesSince() does not scan all rows.
   std::multimap<RowVersion, TableRows::iterator> by_version_;
   std::set<std::string> changed_keys_;
   Time changed_after_ = absl::InfiniteFuture();
@@ -216,27 +223,28 @@
   /// See TableChanges; equal when there is none.
   RowVersion gap_first_ = 0;
   RowVersion gap_last_ = 0;
-  /// A change as of this version has happened.
+  /// The highest version at which a change is known to have happened.
   RowVersion expected_version_ = 0;
   Time suspended_until_ = absl::InfinitePast();
 
   std::optional<Outstanding> outstanding_;
   uint64_t last_call_ = 0;
   Time next_call_ = absl::InfinitePast();
-  /// The first watch is not sent before.
+  /// The first watch is not sent before this time.
   Time first_watch_due_ = absl::InfinitePast();
   Time first_call_ = absl::InfiniteFuture();
 
-  /// Reading the table anew; the pages so far and the version of the first one.
+  /// Whether a full read is in progress; the pages read so far and the version of the first one.
   bool reading_ = true;
   bool merged_while_reading_ = false;
   std::vector<Row> pages_;
   std::string next_page_key_;
   RowVersion reading_version_ = 0;
-  /// Times that history was gone since a watch last succeeded.
+  /// Number of kHistoryGone replies since a watch last succeeded.
   uint32_t history_losses_ = 0;
 
-  /// The last call failed, or history was gone: the watch before may have been deaf for long.
+  /// The last call failed or its history was gone: the previous watch may have reported nothing for
+  /// an unknown time.
   bool watch_unreliable_ = false;
   std::optional<Time> failing_since_;
   Time last_failure_ = absl::InfinitePast();
--- a/src/core/store/table_follower_sharing.cc
+++ b/src/core/store/table_follower_sharing.cc
@@ -1,4 +1,4 @@
-// What a follower takes from other nodes' copies of its table, and tells them of its own.
+// Exchange of table contents between a follower and the copies held by other nodes.
 #include <algorithm>
 #include <optional>
 
@@ -60,10 +60,10 @@
   if (!known_ || changes.base > as_of_ || changes.InGap(as_of_)) {
     return false;
   }
-  // Up to as_of_ this copy is whole: an older row that it does not hold has gone.
+  // This copy is complete up to as_of_: an older row that it does not hold has been removed.
   const RowVersion held = as_of_;
-  // The sender knows how long it may have been deaf, and this copy how long it may have been left
-  // without news; the changes may be as old as the longer of the two.
+  // The sender reports how old the changes may be on its side, and this copy may itself have
+  // received no updates for some time. The earlier of both bounds holds.
   const Time changed_after = std::min(CompleteUntil(outstanding_, now), changes.changed_after);
   RowVersion newest = held;
   for (const Row& row : changes.rows) {
@@ -80,7 +80,7 @@
   if (newest > held) {
     ExpectVersion(std::min(newest, changes.version), now);
     if (Suspended(now) && outstanding_.has_value() && outstanding_->is_watch) {
-      // Its answer is not needed any more.
+      // The reply of the watch is no longer needed.
       outstanding_.reset();
     }
   }
--- a/tests/unit/store/changed_after_test.cc
+++ b/tests/unit/store/changed_after_test.cc
@@ -1,4 +1,5 @@
-// Since when a change may have been in force when a copy hears of it.
+// Tests of TableFollower::changed_after(): the earliest time at which a change reported to a copy
+// may have taken effect.
 #include <boost/test/unit_test.hpp>
 #include <optional>
 #include <string>
@@ -12,7 +13,7 @@
 
 constexpr Duration kDelivery = absl::Seconds(1);
 
-/// Has read "a" and "b" at the start; its watch waits since then.
+/// A follower that read rows "a" and "b" at kStart and has had a watch outstanding since then.
 struct Watching {
   Watching() : follower({.table = kTable, .partition = "", .seed = 7}) {
     const auto read = follower.Poll(kStart);
@@ -45,7 +46,7 @@
 }
 
 BOOST_FIXTURE_TEST_CASE(ReadAfterLostWatchIgnoresWatchedUntil, Watching) {
-  // The store answered other calls meanwhile, so the watch seemed to be in order.
+  // The store answered other calls meanwhile, so the watch seemed to work.
   follower.OnStoreAnswered(kStart + absl::Seconds(2));
   BOOST_TEST((follower.watched_until() == kStart + absl::Seconds(2)));
   StoreReply lost;
@@ -76,7 +77,7 @@
   const auto changes = other.follower.ChangesSince(10);
   BOOST_REQUIRE(changes.has_value());
   BOOST_TEST((changes->changed_after == kStart));
-  // This copy was vouched for until now, falsely.
+  // This copy was confirmed up to `now`, wrongly: the sender's watch was lost.
   follower.Suspend(now + absl::Seconds(1), now);
   BOOST_TEST(follower.Apply(*changes, now));
   BOOST_TEST((follower.changed_after() == kStart));
--- a/tests/unit/store/shared_changes_test.cc
+++ b/tests/unit/store/shared_changes_test.cc
@@ -1,4 +1,4 @@
-// A follower that another node's copy keeps current.
+// Tests of a TableFollower that is kept current by another node's copy.
 #include <boost/test/unit_test.hpp>
 #include <optional>
 #include <string>
@@ -14,7 +14,7 @@
 constexpr size_t kMaxRemovals = 3;
 const Time kUntil = kStart + absl::Milliseconds(700);
 
-/// Has read `rows` as of `version`; its watch is on its way.
+/// A follower that has read `rows` at `version` and has a watch outstanding.
 struct Copy {
   Copy(const std::vector<Row>& rows, RowVersion version)
       : follower({.table = kTable, .partition = "", .max_removals = kMaxRemovals, .seed = 7}) {
@@ -23,7 +23,7 @@
     watch = follower.Poll(kStart);
   }
 
-  /// The watch tells of `rows`; the next one goes out.
+  /// Answers the watch with `rows` and issues the next one.
   void Deliver(const std::vector<Row>& rows, RowVersion version, Time now = kStart) {
     follower.OnReply(watch->call, Done(rows, version), now);
     watch = follower.Poll(follower.NextWake());
@@ -37,7 +37,7 @@
 BOOST_AUTO_TEST_CASE(NoCallIsMadeWhileSuspended) {
   Copy copy({MakeRow("a", 8)}, 10);
   copy.follower.Suspend(kUntil, kStart);
-  // The watch on its way may still answer, or fail.
+  // The outstanding watch may still be answered, or fail.
   copy.follower.OnReply(copy.watch->call, Done({MakeRow("b", 12)}, 12), kStart);
   BOOST_TEST(copy.Holds("b"));
   BOOST_TEST(!copy.follower.Poll(kUntil - absl::Milliseconds(1)).has_value());
@@ -91,7 +91,7 @@
 
 BOOST_AUTO_TEST_CASE(OlderChangesRestoreNoRemovedRows) {
   Copy copy({MakeRow("a", 20)}, 25);
-  // The copy knows that "gone" went at 24, after these changes were made.
+  // The copy at 25 does not hold "gone": it was removed at 24, after these changes were made.
   const TableChanges stale{5, 22, 22, {MakeRow("gone", 22), MakeRow("a", 19), Removed("a", 21)}};
   BOOST_TEST(copy.follower.Apply(stale, kStart));
   BOOST_TEST(!copy.Holds("gone"));
@@ -119,7 +119,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(ReadSettlesTableOnlyAtItsOwnVersion) {
-  // A row may have gone between its last change, 8, and the reading, 10.
+  // A row may have been removed between the last change at 8 and the read at 10.
   Copy copy({MakeRow("a", 8)}, 10);
   BOOST_TEST(copy.follower.settled_version() == 10);
   BOOST_TEST(!copy.follower.ChangesSince(9).has_value());
@@ -132,11 +132,11 @@
   const Time later = kStart + absl::Seconds(1);
   copy.follower.OnStoreAnswered(later);
   BOOST_TEST((copy.follower.watched_until() == later));
-  // Another node knows of a change that the watch should have told.
+  // Another node knows of a change that the watch should have reported.
   copy.follower.ExpectVersion(12, later);
   copy.follower.OnStoreAnswered(later + absl::Seconds(1));
   BOOST_TEST((copy.follower.watched_until() == later));
-  // The watch tells it, then fails.
+  // The watch reports the change; the next watch fails.
   copy.Deliver({MakeRow("a", 12)}, 12, later);
   copy.follower.OnStoreAnswered(later + absl::Seconds(2));
   BOOST_TEST((copy.follower.watched_until() == later + absl::Seconds(2)));
--- a/tests/unit/store/table_follower_test.cc
+++ b/tests/unit/store/table_follower_test.cc
@@ -17,15 +17,15 @@
   return reply;
 }
 
-/// A follower and the time it lives in.
+/// A follower and its simulated time.
 struct Fixture {
   Fixture() : follower({.table = kTable, .partition = "", .seed = 7}) {}
 
-  /// The next call, whenever it is due.
+  /// Advances the time to the next call and returns it.
   FollowerCall NextCall() {
     now = std::max(now, follower.NextWake());
     std::optional<FollowerCall> call = follower.Poll(now);
-    if (!call.has_value()) {  // an overdue call has failed: the next one comes after a pause
+    if (!call.has_value()) {  // an overdue call has failed; the next one follows the back-off
       now = follower.NextWake();
       call = follower.Poll(now);
     }
@@ -46,7 +46,7 @@
   void Reply(const FollowerCall& call, const StoreReply& reply) {
     follower.OnReply(call.call, reply, now);
   }
-  /// Reads the table once.
+  /// Completes a read of the table.
   void Load(std::vector<Row> rows, RowVersion version) {
     Reply(NextRead(), Done(std::move(rows), version));
     follower.TakeChangedKeys();
@@ -67,7 +67,7 @@
   BOOST_TEST(follower.known());
   BOOST_TEST(follower.TakeChangedKeys() == Keys({"a", "b"}), boost::test_tools::per_element());
   const FollowerCall watch = NextWatch(10);
-  // "a" changed behind the first page; the change to "b" is held already.
+  // "a" changed after the first page was read; the change to "b" is already held.
   Reply(watch, Done({MakeRow("a", 11, "new"), MakeRow("b", 12)}, 14));
   BOOST_TEST(follower.rows().at("a").value == "new");
   BOOST_TEST(follower.TakeChangedKeys() == Keys({"a"}), boost::test_tools::per_element());
@@ -84,7 +84,7 @@
   Load({MakeRow("a", 1), MakeRow("b", 2)}, 10);
   Reply(NextWatch(10), Done({MakeRow("c", 11), Removed("a", 12), Removed("b", 1)}, 12));
   BOOST_TEST(!follower.rows().contains("a"));
-  BOOST_TEST(follower.rows().contains("b"));  // removed before the row held was written
+  BOOST_TEST(follower.rows().contains("b"));  // the removal is older than the row held
   BOOST_TEST(follower.TakeChangedKeys() == Keys({"a", "c"}), boost::test_tools::per_element());
   BOOST_TEST(follower.content_version() == 12);
 }
@@ -168,7 +168,7 @@
   now += kWait + absl::Milliseconds(30);
   Reply(watch, Done({}, 12));
   BOOST_TEST(follower.last_confirmed() == sent + kWait);
-  // An answer that tells of a change says nothing about the time after its call was sent.
+  // A reply with a change confirms the copy only up to the send time of its call.
   const Time next_sent = now;
   const FollowerCall next = NextWatch(12);
   now += absl::Seconds(5);
@@ -198,7 +198,7 @@
 }
 
 BOOST_FIXTURE_TEST_CASE(MergeKeepsNewerRows, Fixture) {
-  // The second page was read later than the first: its row is newer than the copy as a whole.
+  // The second page was read later than the first, so its row is newer than as_of().
   Reply(NextRead(), Done({MakeRow("a", 1)}, 10, true));
   Reply(NextRead(), Done({MakeRow("b", 14)}, 14));
   BOOST_TEST(follower.as_of() == 10);
--- a/tests/unit/store/table_rows.h
+++ b/tests/unit/store/table_rows.h
@@ -1,4 +1,4 @@
-// Rows and replies of the one table that these tests follow.
+// Builders of rows and replies for the table used by these tests.
 #pragma once
 
 #include <string>
