--- a/src/core/membership/limit_exchange.cc
+++ b/src/core/membership/limit_exchange.cc
@@ -25,19 +25,19 @@
                         std::vector<allowance::LimitRecord> all, Time now) {
   own_ = std::move(own);
   all_ = std::move(all);
-  tell_until_ = now + allowance::ToldLimits::kTellFor;
+  publish_until_ = now + allowance::ToldLimits::kTellFor;
 }
 
 std::vector<SharedLimit> LimitExchange::ForReport(Time now) const {
-  return now < tell_until_ ? Encode(own_, now) : std::vector<SharedLimit>();
+  return now < publish_until_ ? Encode(own_, now) : std::vector<SharedLimit>();
 }
 
 std::vector<SharedLimit> LimitExchange::ForHeartbeat(Time now) const {
-  return now < tell_until_ ? Encode(all_, now) : std::vector<SharedLimit>();
+  return now < publish_until_ ? Encode(all_, now) : std::vector<SharedLimit>();
 }
 
-std::vector<allowance::LimitRecord> LimitExchange::Heard(const std::vector<SharedLimit>& shared,
-                                                         Time now) {
+std::vector<allowance::LimitRecord> LimitExchange::Decode(const std::vector<SharedLimit>& shared,
+                                                          Time now) {
   std::vector<allowance::LimitRecord> records;
   records.reserve(shared.size());
   for (const SharedLimit& limit : shared) {
--- a/src/core/membership/limit_exchange.h
+++ b/src/core/membership/limit_exchange.h
@@ -22,13 +22,13 @@
   std::vector<SharedLimit> ForReport(Time now) const;
   std::vector<SharedLimit> ForHeartbeat(Time now) const;
 
-  static std::vector<allowance::LimitRecord> Heard(const std::vector<SharedLimit>& shared,
-                                                   Time now);
+  static std::vector<allowance::LimitRecord> Decode(const std::vector<SharedLimit>& shared,
+                                                    Time now);
 
  private:
   std::vector<allowance::LimitRecord> own_;
   std::vector<allowance::LimitRecord> all_;
-  Time tell_until_ = absl::InfinitePast();
+  Time publish_until_ = absl::InfinitePast();
 };
 
 }  // namespace ladderstream::membership
--- a/src/core/membership/load_sampling.h
+++ b/src/core/membership/load_sampling.h
@@ -10,6 +10,6 @@
 /// Leaves at most `most` keys and `most` back ends in `load`. Keys are drawn in proportion to their
 /// counts, which add up to the same sum as before; so a key that has much of the load stays.
 /// `draw`, in [0, 1), decides which.
-void SampleLoad(size_t most, double draw, LoadReport* load);
+void SampleLoad(size_t max_count, double draw, LoadReport* load);
 
 }  // namespace ladderstream::membership
--- a/src/core/membership/map_exchange.cc
+++ b/src/core/membership/map_exchange.cc
@@ -27,7 +27,7 @@
   return true;
 }
 
-bool MapExchange::TakeOf(Heartbeat& heartbeat) {
+bool MapExchange::TakeFrom(Heartbeat& heartbeat) {
   if (!heartbeat.map.empty()) {
     return Take(std::make_shared<ownership::OwnershipMap>(std::move(heartbeat.map.front())));
   }
@@ -40,7 +40,7 @@
          Take(std::make_shared<ownership::OwnershipMap>(std::move(*changed)));
 }
 
-bool MapExchange::NeedsWhole(const ownership::MapVersion& version) const {
+bool MapExchange::NeedsFull(const ownership::MapVersion& version) const {
   return map_ != nullptr && version < map_->version && history_.Find(version) == nullptr;
 }
 
--- a/src/core/membership/map_exchange.h
+++ b/src/core/membership/map_exchange.h
@@ -21,12 +21,12 @@
   /// True when `map` is newer than the one held, and held from now on.
   bool Take(std::shared_ptr<const ownership::OwnershipMap> map);
   /// Takes what `heartbeat` says of the map. True when a newer one is held.
-  bool TakeOf(Heartbeat& heartbeat);
+  bool TakeFrom(Heartbeat& heartbeat);
 
   /// Puts into `heartbeat` what a node that holds `version` lacks of the map.
   void AddTo(const ownership::MapVersion& version, Heartbeat* heartbeat) const;
   /// Whether a node that holds `version` can only be sent the whole map.
-  bool NeedsWhole(const ownership::MapVersion& version) const;
+  bool NeedsFull(const ownership::MapVersion& version) const;
   /// Puts into `heartbeat`, which goes to all nodes, what changed since this was last called.
   void AddToPush(Heartbeat* heartbeat);
 
--- a/src/core/membership/member_table.cc
+++ b/src/core/membership/member_table.cc
@@ -30,12 +30,12 @@
     return self_;
   }
   const auto known = others_.find(member.incarnation);
-  if (known != others_.end() && (!member.IsWhole() || known->second.identity == member)) {
+  if (known != others_.end() && (!member.IsComplete() || known->second.identity == member)) {
     known->second.connection = connection;
     known->second.last_report = now;
     return known->second.identity;
   }
-  if (!member.IsWhole()) {
+  if (!member.IsComplete()) {
     return std::nullopt;
   }
   std::erase_if(others_, [&member](const auto& entry) {
--- a/src/core/membership/member_table.h
+++ b/src/core/membership/member_table.h
@@ -40,7 +40,7 @@
   /// Puts into `heartbeat` what a node that holds the list of `version` lacks.
   void AddTo(uint64_t version, Heartbeat* heartbeat) const;
   /// Whether a node that holds the list of `version` can only be sent the whole one.
-  bool NeedsWhole(uint64_t version) const {
+  bool NeedsFull(uint64_t version) const {
     return version < version_ && !ChangesSince(version).has_value();
   }
   /// This node became the coordinator: members get a whole lifetime to report to it, and the list's
--- a/src/core/membership/membership.cc
+++ b/src/core/membership/membership.cc
@@ -43,8 +43,8 @@
 
 void Membership::Handle(const Destination& from, Report report, Time now) {
   const std::optional<PeerIdentity> sender = members_.OnReport(report.sender, from.connection, now);
-  HearSuspects(report.suspects, now);
-  HearLimits(report.limits, now);
+  ReceiveSuspects(report.suspects, now);
+  ReceiveLimits(report.limits, now);
   Heartbeat answer = NewHeartbeat(now);
   answer.answered_report = report.sequence;
   answer.identity_wanted = !sender.has_value();
@@ -55,7 +55,7 @@
   }
   AddCopies(report, back, now, &answer);
   Send({back}, std::move(answer));
-  snapshots_.OnVersionsHeard(back, {report.configuration_version, report.backends_version}, now);
+  snapshots_.OnVersionsReceived(back, {report.configuration_version, report.backends_version}, now);
   if (!report.loads.empty() || !report.refused_backends.empty()) {
     actions_.emplace_back(ReportReceivedAction{std::move(report.sender), std::move(report.loads),
                                                std::move(report.refused_backends)});
@@ -65,10 +65,10 @@
 void Membership::AddCopies(const Report& report, const Destination& back, Time now,
                            Heartbeat* answer) {
   const bool leads = IsCoordinator(now);
-  const bool whole = members_.NeedsWhole(report.members_version) ||
-                     (leads && maps_.NeedsWhole(report.map_version));
+  const bool needs_full =
+      members_.NeedsFull(report.members_version) || (leads && maps_.NeedsFull(report.map_version));
   // Who does not coordinate has a list for whoever comes; that costs it no lease.
-  if (leads && whole && !whole_copies_.Grant(back, now)) {
+  if (leads && needs_full && !full_copies_.Grant(back, now)) {
     return;
   }
   if (leads) {
@@ -77,32 +77,32 @@
   members_.AddTo(report.members_version, answer);
 }
 
-void Membership::SendWholeCopies(Time now) {
-  if (!whole_copies_.Due(now)) {
+void Membership::SendFullCopies(Time now) {
+  if (!full_copies_.Due(now)) {
     return;
   }
   Heartbeat heartbeat = NewHeartbeat(now);
   maps_.AddTo({}, &heartbeat);
   members_.AddTo(0, &heartbeat);
   relay_.AddAsPushed(now, &heartbeat);
-  Send(whole_copies_.Take(now), std::move(heartbeat));
+  Send(full_copies_.Take(now), std::move(heartbeat));
 }
 
 void Membership::Handle(const Destination& from, Heartbeat heartbeat, Time now) {
   const std::optional<SentReport> report = sent_reports_.Take(heartbeat.answered_report);
-  HearSuspects(heartbeat.suspects, now);
-  HearLimits(heartbeat.limits, now);
+  ReceiveSuspects(heartbeat.suspects, now);
+  ReceiveLimits(heartbeat.limits, now);
   if (relay_.TakeRows(heartbeat, now)) {
     actions_.emplace_back(TablesMergedAction{});
   }
-  snapshots_.OnVersionsHeard(from, {heartbeat.configuration_version, heartbeat.backends_version},
-                             now);
+  snapshots_.OnVersionsReceived(from, {heartbeat.configuration_version, heartbeat.backends_version},
+                                now);
   if (report.has_value() && report->holder != 0 && report->holder != heartbeat.sender) {
     // Another process answers at the coordinator's address: the coordinator's has ended.
     actions_.emplace_back(CoordinatorEndedAction{report->holder});
   }
   const bool own_lease = heartbeat.lease.incarnation == self_.incarnation;
-  if (heartbeat.lease.epoch == 0 || own_lease || !LearnHolder(heartbeat.lease, now)) {
+  if (heartbeat.lease.epoch == 0 || own_lease || !UpdateHolder(heartbeat.lease, now)) {
     return;
   }
   if (report.has_value() && report->holder == heartbeat.sender) {
@@ -114,21 +114,21 @@
   if (heartbeat.sender != heartbeat.lease.incarnation || heartbeat.lease_left_ms == 0) {
     return;
   }
-  HearCoordinator(heartbeat, report, now);
+  HandleCoordinatorHeartbeat(heartbeat, report, now);
 }
 
-void Membership::HearCoordinator(Heartbeat& heartbeat, const std::optional<SentReport>& report,
-                                 Time now) {
-  last_heard_ = now;
-  actions_.emplace_back(HeartbeatHeardAction{heartbeat.lease});
-  if (maps_.TakeOf(heartbeat)) {
+void Membership::HandleCoordinatorHeartbeat(Heartbeat& heartbeat,
+                                            const std::optional<SentReport>& report, Time now) {
+  last_heartbeat_ = now;
+  actions_.emplace_back(HeartbeatReceivedAction{heartbeat.lease});
+  if (maps_.TakeFrom(heartbeat)) {
     actions_.emplace_back(MapChangedAction{maps_.map()});
   }
   ConfirmBy(heartbeat, report, now);
   ConfirmMembersBy(heartbeat, report);
   const bool pushed = heartbeat.answered_report == 0;
   if (pushed || report.has_value()) {
-    relay_.OnCoordinatorHeard(heartbeat, pushed ? now : report->sent, !pushed, now);
+    relay_.OnCoordinatorHeartbeat(heartbeat, pushed ? now : report->sent, !pushed, now);
   }
 }
 
@@ -170,10 +170,10 @@
 }
 
 void Membership::OnHolderKnown(const ownership::LeaseView& lease, Time now) {
-  LearnHolder(lease, now);
+  UpdateHolder(lease, now);
 }
 
-bool Membership::LearnHolder(const ownership::LeaseView& lease, Time now) {
+bool Membership::UpdateHolder(const ownership::LeaseView& lease, Time now) {
   if (holder_.has_value() && lease.epoch < holder_->epoch) {
     return false;
   }
@@ -196,7 +196,7 @@
 
 void Membership::OnLeaseHeld(const ownership::LeaseView& lease, Time until, Time now) {
   const bool took_over = !IsCoordinator(now);
-  if (!LearnHolder(lease, now)) {
+  if (!UpdateHolder(lease, now)) {
     return;
   }
   lease_until_ = until;
@@ -211,7 +211,7 @@
     // A node that is alone has no other cause to tell of its list, which is now the one in force.
     actions_.emplace_back(MembersChangedAction{static_cast<uint32_t>(members().size())});
     next_refresh_ = now + kRefreshInterval;
-    next_sign_of_life_ = now + LongestHeartbeatGap();
+    next_keep_alive_ = now + LongestHeartbeatGap();
     PushHeartbeat(now);
   }
 }
@@ -219,7 +219,7 @@
 void Membership::EndLeading() {
   if (lease_until_ != absl::InfinitePast()) {
     lease_until_ = absl::InfinitePast();
-    whole_copies_.Clear();
+    full_copies_.Clear();
     relay_.OnLeading(false);
   }
 }
@@ -320,15 +320,15 @@
   }
   Report report = NewReport(holder_->incarnation, now);
   for (LoadReport& load : loads) {
-    SampleLoad(MostReportedCounts(), RandomShare(), &load);
+    SampleLoad(MaxReportedCounts(), RandomShare(), &load);
   }
   report.loads = std::move(loads);
   report.refused_backends = std::move(refused_backends);
   Send({members_.At(holder_->peer_address)}, std::move(report));
 }
 
-size_t Membership::MostReportedCounts() const {
-  return std::max(settings_.fewest_reported_counts,
+size_t Membership::MaxReportedCounts() const {
+  return std::max(settings_.min_reported_counts,
                   settings_.reported_counts / std::max<size_t>(1, members().size()));
 }
 
@@ -385,13 +385,13 @@
     OnLeaseLost(now);
   }
   if (IsCoordinator(now)) {
-    push_wanted_ = push_wanted_ || relay_.HasNews();
+    push_wanted_ = push_wanted_ || relay_.HasUpdates();
     if (push_wanted_ && now >= next_push_) {
       PushHeartbeat(now);
     }
-    SendWholeCopies(now);
-    if (now >= next_sign_of_life_) {
-      ShowAlive(now);
+    SendFullCopies(now);
+    if (now >= next_keep_alive_) {
+      SendKeepAlive(now);
     }
     if (now >= next_refresh_) {
       next_refresh_ = now + kRefreshInterval;
@@ -409,7 +409,7 @@
   if (other_holds) {
     actions_.emplace_back(ReportDueAction{});
   }
-  if (!other_holds || now - last_heard_ > settings_.silence) {
+  if (!other_holds || now - last_heartbeat_ > settings_.coordinator_timeout) {
     SeekCoordinator(now);
   }
 }
@@ -419,12 +419,12 @@
     return std::min(next_report_, snapshots_.NextWake());
   }
   const Time next_push = push_wanted_ ? next_push_ : absl::InfiniteFuture();
-  return std::min({lease_until_, next_push, next_sign_of_life_, next_refresh_,
-                   whole_copies_.NextWake(), snapshots_.NextWake()});
+  return std::min({lease_until_, next_push, next_keep_alive_, next_refresh_,
+                   full_copies_.NextWake(), snapshots_.NextWake()});
 }
 
-void Membership::ShowAlive(Time now) {
-  next_sign_of_life_ = now + LongestHeartbeatGap();
+void Membership::SendKeepAlive(Time now) {
+  next_keep_alive_ = now + LongestHeartbeatGap();
   if (ReportInterval() <= LongestHeartbeatGap()) {
     return;
   }
--- a/src/core/membership/membership.h
+++ b/src/core/membership/membership.h
@@ -36,7 +36,7 @@
   /// Below what one report confirms a map for, so that the next one comes in time.
   Duration longest_report_interval = absl::Milliseconds(1500);
   /// A coordinator that was silent for so long may have a successor: other nodes are asked.
-  Duration silence = absl::Seconds(1);
+  Duration coordinator_timeout = absl::Seconds(1);
   Duration member_lifetime = absl::Seconds(3);
   /// A changed list of members, and a changed map, go to all nodes at most once in this time for
   /// each member; the first change after a pause goes at once.
@@ -57,7 +57,7 @@
   /// Counts of keys, and of back ends, that all nodes together report in one interval at most, but
   /// for the fewest that each may report.
   size_t reported_counts = 16'384;
-  size_t fewest_reported_counts = 16;
+  size_t min_reported_counts = 16;
   SnapshotSettings snapshot = {};
   RelaySettings relay = {};
   /// Of jitter and of whom to ask first.
@@ -72,7 +72,7 @@
 /// A report to the coordinator is due: call SendReport with the loads since the last one.
 struct ReportDueAction {};
 /// The coordinator is alive: for Coordinator::OnHeartbeat.
-struct HeartbeatHeardAction {
+struct HeartbeatReceivedAction {
   ownership::LeaseView lease;
 };
 /// The coordinator gave up or its process has ended: for Coordinator::OnCoordinatorEnded.
@@ -102,15 +102,15 @@
   std::vector<std::string> refused_backends;
 };
 /// Another node knows of requests that crash back ends: for CrashSuspects::Merge.
-struct SuspectsHeardAction {
+struct SuspectsReceivedAction {
   std::vector<quarantine::SuspectRecord> suspects;
 };
 /// Another node knows of limits of back ends: for Dispatcher::OnLimitsHeard.
-struct LimitsHeardAction {
+struct LimitsReceivedAction {
   std::vector<allowance::LimitRecord> limits;
 };
 /// Another node asks for permits: to be answered with SendPermitAnswer.
-struct PermitAskedAction {
+struct PermitRequestedAction {
   Destination from;
   allowance::PermitQuestion question;
 };
@@ -121,10 +121,10 @@
 /// Rows of another node went into a follower.
 struct TablesMergedAction {};
 using MembershipAction =
-    std::variant<SendAction, ReportDueAction, HeartbeatHeardAction, CoordinatorEndedAction,
+    std::variant<SendAction, ReportDueAction, HeartbeatReceivedAction, CoordinatorEndedAction,
                  MapChangedAction, MapConfirmedAction, MembersChangedAction, MembersConfirmedAction,
-                 ReportReceivedAction, SuspectsHeardAction, LimitsHeardAction, PermitAskedAction,
-                 PermitAnsweredAction, TablesMergedAction>;
+                 ReportReceivedAction, SuspectsReceivedAction, LimitsReceivedAction,
+                 PermitRequestedAction, PermitAnsweredAction, TablesMergedAction>;
 
 class Membership {
  public:
@@ -194,31 +194,32 @@
   void Handle(const Destination& from, const PermitRequest& request, Time now);
   void Handle(const Destination& from, const PermitAnswer& answer, Time now);
 
-  void HearSuspects(const std::vector<SharedSuspect>& suspects, Time now);
-  void HearLimits(const std::vector<SharedLimit>& limits, Time now);
+  void ReceiveSuspects(const std::vector<SharedSuspect>& suspects, Time now);
+  void ReceiveLimits(const std::vector<SharedLimit>& limits, Time now);
   /// This node learned something that others are to hear soon.
   /// Brings the next report forward.
   void ReportSoon(Time now);
-  void TellSoon(bool own, Time now);
+  void PublishSoon(bool own, Time now);
   void EndLeading();
   /// False when a holder of a later epoch is known.
-  bool LearnHolder(const ownership::LeaseView& lease, Time now);
+  bool UpdateHolder(const ownership::LeaseView& lease, Time now);
   /// What the heartbeat of a coordinator that holds its lease says, beyond who it is.
-  void HearCoordinator(Heartbeat& heartbeat, const std::optional<SentReport>& report, Time now);
+  void HandleCoordinatorHeartbeat(Heartbeat& heartbeat, const std::optional<SentReport>& report,
+                                  Time now);
   void ConfirmBy(const Heartbeat& heartbeat, const std::optional<SentReport>& report, Time now);
   void SetConfirmed(Time until);
   void ConfirmMembersBy(const Heartbeat& heartbeat, const std::optional<SentReport>& report);
   Report NewReport(uint64_t holder, Time now);
-  size_t MostReportedCounts() const;
+  size_t MaxReportedCounts() const;
   /// Asks some other node who the coordinator is.
   void SeekCoordinator(Time now);
   Heartbeat NewHeartbeat(Time now) const;
   void PushHeartbeat(Time now);
   /// Keeps many nodes, which report rarely, from taking the coordinator for dead.
-  void ShowAlive(Time now);
+  void SendKeepAlive(Time now);
   /// Puts the map and the list into the answer to a report, as far as the reporter lacks them.
   void AddCopies(const Report& report, const Destination& back, Time now, Heartbeat* answer);
-  void SendWholeCopies(Time now);
+  void SendFullCopies(Time now);
   void AskForSnapshot(Time now);
   std::vector<Destination> OthersAndSeeds() const;
   /// At which all nodes together keep to `reports_per_second`.
@@ -237,14 +238,14 @@
   SnapshotExchange snapshots_;
   TableRelay relay_;
   MapExchange maps_;
-  WholeCopies whole_copies_;
+  FullCopies full_copies_;
   SuspectExchange suspects_;
   LimitExchange limits_;
   std::mt19937_64 random_;
   std::vector<MembershipAction> actions_;
 
   std::optional<ownership::LeaseView> holder_;
-  Time last_heard_ = absl::InfinitePast();
+  Time last_heartbeat_ = absl::InfinitePast();
   /// What the last push brought all nodes to.
   uint64_t pushed_members_ = 0;
   /// The coordinator that answered that it knows this node's identity; 0 for none.
@@ -259,7 +260,7 @@
   Time lease_until_ = absl::InfinitePast();
   bool push_wanted_ = false;
   Time next_push_ = absl::InfinitePast();
-  Time next_sign_of_life_ = absl::InfinitePast();
+  Time next_keep_alive_ = absl::InfinitePast();
   Time next_refresh_ = absl::InfinitePast();
 };
 
--- a/src/core/membership/membership_news.cc
+++ b/src/core/membership/membership_news.cc
@@ -9,16 +9,16 @@
 
 void Membership::OnSuspects(std::vector<quarantine::SuspectRecord> suspects, bool own, Time now) {
   suspects_.Set(std::move(suspects), own, now);
-  TellSoon(own, now);
+  PublishSoon(own, now);
 }
 
 void Membership::OnLimits(std::vector<allowance::LimitRecord> own_limits,
                           std::vector<allowance::LimitRecord> all, bool own, Time now) {
   limits_.Set(std::move(own_limits), std::move(all), now);
-  TellSoon(own, now);
+  PublishSoon(own, now);
 }
 
-void Membership::TellSoon(bool own, Time now) {
+void Membership::PublishSoon(bool own, Time now) {
   if (IsCoordinator(now)) {
     push_wanted_ = true;
   } else if (own) {
@@ -26,20 +26,20 @@
   }
 }
 
-void Membership::HearSuspects(const std::vector<SharedSuspect>& suspects, Time now) {
+void Membership::ReceiveSuspects(const std::vector<SharedSuspect>& suspects, Time now) {
   if (!suspects.empty()) {
-    actions_.emplace_back(SuspectsHeardAction{SuspectExchange::Heard(suspects, now)});
+    actions_.emplace_back(SuspectsReceivedAction{SuspectExchange::Decode(suspects, now)});
   }
 }
 
-void Membership::HearLimits(const std::vector<SharedLimit>& limits, Time now) {
+void Membership::ReceiveLimits(const std::vector<SharedLimit>& limits, Time now) {
   if (!limits.empty()) {
-    actions_.emplace_back(LimitsHeardAction{LimitExchange::Heard(limits, now)});
+    actions_.emplace_back(LimitsReceivedAction{LimitExchange::Decode(limits, now)});
   }
 }
 
 void Membership::Handle(const Destination& from, const PermitRequest& request, Time /*now*/) {
-  actions_.emplace_back(PermitAskedAction{
+  actions_.emplace_back(PermitRequestedAction{
       from, {self_.incarnation, request.sequence, request.backend, request.rate, request.wanted}});
 }
 
--- a/src/core/membership/message_codec.cc
+++ b/src/core/membership/message_codec.cc
@@ -15,32 +15,32 @@
 namespace {
 
 /// No list of a sound message is longer: one entry for each key.
-constexpr size_t kMostElements = ownership::kLastKey + 1;
-constexpr size_t kMostTextBytes = size_t{1} << 20;
-constexpr size_t kMostDepth = 16;
+constexpr size_t kMaxElements = ownership::kLastKey + 1;
+constexpr size_t kMaxTextBytes = size_t{1} << 20;
+constexpr size_t kMaxDepth = 16;
 /// The configuration and the back ends.
 constexpr size_t kTablesRelayed = 2;
 /// Values in one message, in all its lists together; each takes some 24 bytes once parsed.
-constexpr size_t kMostValues = 500'000;
+constexpr size_t kMaxValues = 500'000;
 
 /// Counts the values of a message without keeping any, and stops when there are too many.
 class ValueCounter : public msgpack::null_visitor {
  public:
   bool start_array(uint32_t count) { return Add(count); }
   bool start_map(uint32_t count) { return Add(size_t{2} * count); }
-  void parse_error(size_t /*parsed*/, size_t /*error*/) { broken_ = true; }
-  void insufficient_bytes(size_t /*parsed*/, size_t /*error*/) { broken_ = true; }
+  void parse_error(size_t /*parsed*/, size_t /*error*/) { malformed_ = true; }
+  void insufficient_bytes(size_t /*parsed*/, size_t /*error*/) { malformed_ = true; }
 
-  bool sound() const { return !broken_ && values_ <= kMostValues; }
+  bool valid() const { return !malformed_ && values_ <= kMaxValues; }
 
  private:
   bool Add(size_t count) {
     values_ += count;
-    return values_ <= kMostValues;
+    return values_ <= kMaxValues;
   }
 
   size_t values_ = 0;
-  bool broken_ = false;
+  bool malformed_ = false;
 };
 
 void Require(bool condition, std::string_view what) {
@@ -55,7 +55,7 @@
   Require(backends == load.answers.size() && backends == load.busy_us.size() &&
               backends == load.includes_wait.size(),
           "loads: back ends and their figures differ in number");
-  Require(load.declined_by.size() == load.rest_ms.size(),
+  Require(load.declined_by.size() == load.backoff_ms.size(),
           "loads: back ends that declined and their rests differ in number");
   Require(load.reported_share > 0 && load.reported_share <= 1,
           "loads: the reported share is not between 0 and 1");
@@ -104,15 +104,15 @@
   }
 }
 
-void Check(const TableNews& news) {
-  Require(news.base <= news.version, "tables: changes that lead back");
-  Require(news.newest_change <= news.version, "tables: a change after the version");
-  Require(news.gap_first <= news.gap_last, "tables: a gap that ends before it begins");
-  for (const SharedRow& row : news.rows) {
-    Require(row.version > news.base, "tables: a row that did not change");
+void Check(const TableUpdate& update) {
+  Require(update.base <= update.version, "tables: changes that lead back");
+  Require(update.newest_change <= update.version, "tables: a change after the version");
+  Require(update.gap_first <= update.gap_last, "tables: a gap that ends before it begins");
+  for (const SharedRow& row : update.rows) {
+    Require(row.version > update.base, "tables: a row that did not change");
   }
-  for (const RemovedRow& row : news.removals) {
-    Require(row.version > news.base, "tables: a removal before the base");
+  for (const RemovedRow& row : update.removals) {
+    Require(row.version > update.base, "tables: a removal before the base");
   }
 }
 
@@ -163,8 +163,8 @@
           "heartbeat: more than one list of members");
   Require(heartbeat.tables.empty() || heartbeat.tables.size() == kTablesRelayed,
           "heartbeat: not each table once");
-  for (const TableNews& news : heartbeat.tables) {
-    Check(news);
+  for (const TableUpdate& update : heartbeat.tables) {
+    Check(update);
   }
 }
 
@@ -195,11 +195,11 @@
 Message Parse(std::string_view bytes) {
   ValueCounter counter;
   size_t offset = 0;
-  const bool whole = msgpack::parse(bytes.data(), bytes.size(), offset, counter);
-  Require(whole && counter.sound(), "message: not whole, or too many values");
+  const bool complete = msgpack::parse(bytes.data(), bytes.size(), offset, counter);
+  Require(complete && counter.valid(), "message: not whole, or too many values");
   Require(offset == bytes.size(), "message: bytes behind its end");
-  const msgpack::unpack_limit limit(kMostElements, kMostElements, kMostTextBytes, kMostTextBytes, 0,
-                                    kMostDepth);
+  const msgpack::unpack_limit limit(kMaxElements, kMaxElements, kMaxTextBytes, kMaxTextBytes, 0,
+                                    kMaxDepth);
   const msgpack::object_handle handle =
       msgpack::unpack(bytes.data(), bytes.size(), nullptr, nullptr, limit);
   return handle.get().as<Message>();
--- a/src/core/membership/message_kind.cc
+++ b/src/core/membership/message_kind.cc
@@ -25,7 +25,7 @@
     return MessageKind::kMembers;
   }
   const bool has_rows = std::any_of(heartbeat.tables.begin(), heartbeat.tables.end(),
-                                    [](const TableNews& news) { return !news.rows.empty(); });
+                                    [](const TableUpdate& update) { return !update.rows.empty(); });
   if (has_rows) {
     return MessageKind::kRows;
   }
--- a/src/core/membership/messages.h
+++ b/src/core/membership/messages.h
@@ -27,7 +27,7 @@
   Endpoint address;
   bool operator==(const PeerIdentity&) const = default;
   /// A node that the receiver knows already sends its incarnation only.
-  bool IsWhole() const { return address.port != 0; }
+  bool IsComplete() const { return address.port != 0; }
   MSGPACK_DEFINE_ARRAY(incarnation, name, zone, address);
 };
 
@@ -48,9 +48,9 @@
   /// Back ends that turned requests away though they had free slots, and for how long the sender
   /// leaves each alone, in milliseconds.
   std::vector<std::string> declined_by;
-  std::vector<uint32_t> rest_ms;
+  std::vector<uint32_t> backoff_ms;
   MSGPACK_DEFINE_ARRAY(service, keys, counts, backends, answers, busy_us, includes_wait,
-                       reported_share, denied_keys, declined_by, rest_ms);
+                       reported_share, denied_keys, declined_by, backoff_ms);
 };
 
 /// Of an age that the sender does not tell.
@@ -117,7 +117,7 @@
 };
 
 /// What a copy of one table that is whole up to `base` lacks to be whole up to `version`.
-struct TableNews {
+struct TableUpdate {
   uint64_t base = 0;
   uint64_t version = 0;
   /// The table's last change up to `version`.
@@ -172,7 +172,7 @@
   uint64_t configuration_version = 0;
   uint64_t backends_version = 0;
   /// From the coordinator: of the configuration and of the back ends, in this order; or empty.
-  std::vector<TableNews> tables;
+  std::vector<TableUpdate> tables;
   /// At most one, and none beside `members`.
   std::vector<MemberChanges> member_changes;
   /// The sender of the report that this answers is to send its whole identity.
--- a/src/core/membership/sent_reports.cc
+++ b/src/core/membership/sent_reports.cc
@@ -7,12 +7,12 @@
 namespace {
 
 /// Reports that may be without an answer at a time.
-constexpr size_t kMostSentReports = 16;
+constexpr size_t kMaxSentReports = 16;
 
 }  // namespace
 
 uint64_t SentReports::Add(uint64_t holder, Time now) {
-  if (reports_.size() >= kMostSentReports) {
+  if (reports_.size() >= kMaxSentReports) {
     reports_.pop_front();
   }
   reports_.push_back({++last_sequence_, now, holder});
--- a/src/core/membership/snapshot_exchange.cc
+++ b/src/core/membership/snapshot_exchange.cc
@@ -8,7 +8,7 @@
 namespace {
 
 /// Questions to one node about one hint; it may have ended meanwhile.
-constexpr uint32_t kMostQuestionsPerHint = 3;
+constexpr uint32_t kMaxQuestionsPerHint = 3;
 
 std::vector<SharedRow> SharedRows(const store::TableFollower& follower) {
   std::vector<SharedRow> rows;
@@ -34,9 +34,9 @@
 }
 
 uint32_t Milliseconds(Duration duration) {
-  constexpr int64_t kMost = std::numeric_limits<uint32_t>::max();
+  constexpr int64_t kMax = std::numeric_limits<uint32_t>::max();
   return static_cast<uint32_t>(
-      std::clamp<int64_t>(absl::ToInt64Milliseconds(duration), int64_t{0}, kMost));
+      std::clamp<int64_t>(absl::ToInt64Milliseconds(duration), int64_t{0}, kMax));
 }
 
 }  // namespace
@@ -55,17 +55,17 @@
   return {configuration_->content_version(), backends_->content_version()};
 }
 
-void SnapshotExchange::OnVersionsHeard(const Destination& from, const HeldVersions& heard,
-                                       Time now) {
+void SnapshotExchange::OnVersionsReceived(const Destination& from, const HeldVersions& versions,
+                                          Time now) {
   const bool newer =
-      heard.configuration > configuration_->as_of() || heard.backends > backends_->as_of();
+      versions.configuration > configuration_->as_of() || versions.backends > backends_->as_of();
   if (!newer) {
     return;
   }
-  configuration_->ExpectVersion(heard.configuration, now);
-  backends_->ExpectVersion(heard.backends, now);
+  configuration_->ExpectVersion(versions.configuration, now);
+  backends_->ExpectVersion(versions.backends, now);
   if (!HintIsOpen()) {
-    hint_ = Hint{from, heard, now, 0};
+    hint_ = Hint{from, versions, now, 0};
   }
 }
 
@@ -108,7 +108,7 @@
   if (now < NextWake()) {
     return std::nullopt;
   }
-  const bool hinted = HintIsOpen() && now >= hint_->heard + settings_.hint_patience;
+  const bool hinted = HintIsOpen() && now >= hint_->received_at + settings_.hint_delay;
   if (hinted) {
     ++hint_->questions;
     next_question_ = now + settings_.shortest_interval;
@@ -128,24 +128,24 @@
 }
 
 Time SnapshotExchange::NextWake() const {
-  Time due = TurnedAwayAt();
+  Time due = StoreUnresponsiveAt();
   if (HintIsOpen()) {
-    due = std::min(due, hint_->heard + settings_.hint_patience);
+    due = std::min(due, hint_->received_at + settings_.hint_delay);
   }
   return std::max(due, next_question_);
 }
 
 bool SnapshotExchange::HintIsOpen() const {
-  return hint_.has_value() && hint_->questions < kMostQuestionsPerHint &&
+  return hint_.has_value() && hint_->questions < kMaxQuestionsPerHint &&
          (hint_->versions.configuration > configuration_->as_of() ||
           hint_->versions.backends > backends_->as_of());
 }
 
-Time SnapshotExchange::TurnedAwayAt() const {
-  const Time configuration =
-      configuration_->UnansweredSince().value_or(absl::InfiniteFuture()) + settings_.patience;
-  const Time backends =
-      backends_->UnansweredSince().value_or(absl::InfiniteFuture()) + settings_.patience;
+Time SnapshotExchange::StoreUnresponsiveAt() const {
+  const Time configuration = configuration_->UnansweredSince().value_or(absl::InfiniteFuture()) +
+                             settings_.unresponsive_timeout;
+  const Time backends = backends_->UnansweredSince().value_or(absl::InfiniteFuture()) +
+                        settings_.unresponsive_timeout;
   return std::min(configuration, backends);
 }
 
--- a/src/core/membership/snapshot_exchange.h
+++ b/src/core/membership/snapshot_exchange.h
@@ -16,12 +16,12 @@
 
 struct SnapshotSettings {
   /// Other nodes are asked when the store has not answered for so long.
-  Duration patience = absl::Milliseconds(300);
+  Duration unresponsive_timeout = absl::Milliseconds(300);
   /// Pause between questions; grows up to the longest while the answers bring nothing new.
   Duration shortest_interval = absl::Milliseconds(250);
   Duration longest_interval = absl::Seconds(1);
   /// After hearing that another node knows a newer change, this long is left to the own watch.
-  Duration hint_patience = absl::Milliseconds(150);
+  Duration hint_delay = absl::Milliseconds(150);
 };
 
 /// Names what the copies of a node hold.
@@ -39,7 +39,7 @@
   /// The last changes that this node's copies hold; 0 for a table never read.
   HeldVersions Held() const;
   /// A node whose copies hold these versions said so.
-  void OnVersionsHeard(const Destination& from, const HeldVersions& heard, Time now);
+  void OnVersionsReceived(const Destination& from, const HeldVersions& versions, Time now);
   /// The answer to another node's question.
   Snapshot Answer(const SnapshotRequest& request, Time now) const;
   /// True when a copy changed.
@@ -60,13 +60,13 @@
   struct Hint {
     Destination from;
     HeldVersions versions;
-    Time heard;
+    Time received_at;
     uint32_t questions = 0;
   };
 
   bool HintIsOpen() const;
   /// When the store counts as turning this node away; infinite while it answers.
-  Time TurnedAwayAt() const;
+  Time StoreUnresponsiveAt() const;
   /// The next question, which counts as sent now.
   SnapshotRequest NewRequest(Time now);
 
--- a/src/core/membership/suspect_exchange.cc
+++ b/src/core/membership/suspect_exchange.cc
@@ -29,9 +29,9 @@
 
 void SuspectExchange::Set(std::vector<quarantine::SuspectRecord> records, bool own, Time now) {
   records_ = std::move(records);
-  heartbeat_until_ = now + kTellFor;
+  heartbeat_until_ = now + kPublishPeriod;
   if (own) {
-    report_until_ = now + kTellFor;
+    report_until_ = now + kPublishPeriod;
   }
 }
 
@@ -53,7 +53,7 @@
   return Encode(now < heartbeat_until_, now);
 }
 
-std::vector<quarantine::SuspectRecord> SuspectExchange::Heard(
+std::vector<quarantine::SuspectRecord> SuspectExchange::Decode(
     const std::vector<SharedSuspect>& shared, Time now) {
   std::vector<quarantine::SuspectRecord> records;
   records.reserve(shared.size());
--- a/src/core/membership/suspect_exchange.h
+++ b/src/core/membership/suspect_exchange.h
@@ -18,17 +18,17 @@
   /// What this node knows now. `own`: it learned something by itself; otherwise from another node.
   void Set(std::vector<quarantine::SuspectRecord> records, bool own, Time now);
   /// Another node coordinates from now on, and may know nothing.
-  void OnNewHolder(Time now) { report_until_ = now + kTellFor; }
+  void OnNewHolder(Time now) { report_until_ = now + kPublishPeriod; }
 
   std::vector<SharedSuspect> ForReport(Time now) const;
   std::vector<SharedSuspect> ForHeartbeat(Time now) const;
 
-  static std::vector<quarantine::SuspectRecord> Heard(const std::vector<SharedSuspect>& shared,
-                                                      Time now);
+  static std::vector<quarantine::SuspectRecord> Decode(const std::vector<SharedSuspect>& shared,
+                                                       Time now);
 
  private:
   /// News are repeated for so long: two of the longest intervals between reports.
-  static constexpr Duration kTellFor = absl::Seconds(3);
+  static constexpr Duration kPublishPeriod = absl::Seconds(3);
 
   std::vector<SharedSuspect> Encode(bool all, Time now) const;
 
--- a/src/core/membership/table_relay.cc
+++ b/src/core/membership/table_relay.cc
@@ -9,7 +9,7 @@
 
 /// Watches are sent anew no more often than this for calls without an answer: where the store loses
 /// three answers in ten, two more calls a second.
-constexpr Duration kBetweenNewWatches = absl::Seconds(1);
+constexpr Duration kMinWatchRestartInterval = absl::Seconds(1);
 
 /// Spreads incarnations evenly and alike on every node (the finalizer of SplitMix64).
 uint64_t Mix(uint64_t value) {
@@ -21,42 +21,42 @@
 }
 
 uint32_t AgeInMilliseconds(Time confirmed, Time now) {
-  constexpr int64_t kMost = std::numeric_limits<uint32_t>::max();
+  constexpr int64_t kMax = std::numeric_limits<uint32_t>::max();
   return static_cast<uint32_t>(
-      std::clamp<int64_t>(absl::ToInt64Milliseconds(now - confirmed), 0, kMost));
-}
-
-TableNews ToNews(store::TableChanges changes, uint32_t age_ms, Time now) {
-  TableNews news{changes.base,
-                 changes.version,
-                 changes.newest_change,
-                 {},
-                 {},
-                 age_ms,
-                 changes.gap_first,
-                 changes.gap_last,
-                 AgeInMilliseconds(changes.changed_after, now)};
+      std::clamp<int64_t>(absl::ToInt64Milliseconds(now - confirmed), 0, kMax));
+}
+
+TableUpdate ToUpdate(store::TableChanges changes, uint32_t age_ms, Time now) {
+  TableUpdate update{changes.base,
+                     changes.version,
+                     changes.newest_change,
+                     {},
+                     {},
+                     age_ms,
+                     changes.gap_first,
+                     changes.gap_last,
+                     AgeInMilliseconds(changes.changed_after, now)};
   for (store::Row& row : changes.rows) {
     if (row.removed) {
-      news.removals.push_back({std::move(row.key.key), row.version});
+      update.removals.push_back({std::move(row.key.key), row.version});
     } else {
-      news.rows.push_back({std::move(row.key.key), std::move(row.value), row.version});
+      update.rows.push_back({std::move(row.key.key), std::move(row.value), row.version});
     }
   }
-  return news;
+  return update;
 }
 
-store::TableChanges ToChanges(const TableNews& news, const store::FollowerSettings& settings,
+store::TableChanges ToChanges(const TableUpdate& update, const store::FollowerSettings& settings,
                               Time now) {
-  const Time changed_after = news.change_age_ms == kUnknownAge
+  const Time changed_after = update.change_age_ms == kUnknownAge
                                  ? absl::InfinitePast()
-                                 : now - absl::Milliseconds(news.change_age_ms);
-  store::TableChanges changes{news.base,      news.version,  news.newest_change, {},
-                              news.gap_first, news.gap_last, changed_after};
-  for (const RemovedRow& row : news.removals) {
+                                 : now - absl::Milliseconds(update.change_age_ms);
+  store::TableChanges changes{update.base,      update.version,  update.newest_change, {},
+                              update.gap_first, update.gap_last, changed_after};
+  for (const RemovedRow& row : update.removals) {
     changes.rows.push_back({{settings.table, settings.partition, row.key}, "", row.version, true});
   }
-  for (const SharedRow& row : news.rows) {
+  for (const SharedRow& row : update.rows) {
     changes.rows.push_back(
         {{settings.table, settings.partition, row.key}, row.value, row.version, false});
   }
@@ -100,10 +100,10 @@
 void TableRelay::OnStoreAnswered(Time sent) {
   // The watches may have been lost as the other call was. With a lease that outlasts the silence
   // nothing else shows it, and a change was told up to 6 s late.
-  const bool anew =
-      std::exchange(store_silent_, false) && leading_ && sent - watched_anew_ >= kBetweenNewWatches;
+  const bool anew = std::exchange(store_unresponsive_, false) && leading_ &&
+                    sent - watch_restarted_at_ >= kMinWatchRestartInterval;
   if (anew) {
-    watched_anew_ = sent;
+    watch_restarted_at_ = sent;
     for (store::TableFollower* follower : followers_) {
       follower->RestartWatch();
     }
@@ -113,7 +113,7 @@
   }
 }
 
-bool TableRelay::HasNews() const {
+bool TableRelay::HasUpdates() const {
   if (!settings_.enabled) {
     return false;
   }
@@ -166,7 +166,7 @@
     changes = follower.ChangesSince(follower.settled_version());
   }
   heartbeat->tables.push_back(
-      ToNews(std::move(*changes), AgeInMilliseconds(follower.watched_until(), now), now));
+      ToUpdate(std::move(*changes), AgeInMilliseconds(follower.watched_until(), now), now));
 }
 
 bool TableRelay::TakeRows(const Heartbeat& heartbeat, Time now) {
@@ -176,26 +176,28 @@
   bool changed = false;
   for (size_t table = 0; table < kTables; ++table) {
     store::TableFollower* const follower = followers_[table];
-    const TableNews& news = heartbeat.tables[table];
+    const TableUpdate& update = heartbeat.tables[table];
     const store::RowVersion before = follower->content_version();
-    follower->Apply(ToChanges(news, follower->settings(), now), now);
+    follower->Apply(ToChanges(update, follower->settings(), now), now);
     changed = changed || follower->content_version() > before;
   }
   return changed;
 }
 
-void TableRelay::OnCoordinatorHeard(const Heartbeat& heartbeat, Time made, bool answers, Time now) {
-  const bool vouched =
+void TableRelay::OnCoordinatorHeartbeat(const Heartbeat& heartbeat, Time made, bool answers,
+                                        Time now) {
+  const bool confirmed =
       settings_.enabled && heartbeat.tables.size() == kTables && !IsStandby(heartbeat);
   for (size_t table = 0; table < kTables; ++table) {
     store::TableFollower* const follower = followers_[table];
-    if (!vouched || !Reaches(*follower, heartbeat.tables[table])) {
+    if (!confirmed || !Reaches(*follower, heartbeat.tables[table])) {
       follower->Resume();
       continue;
     }
     const Duration age = absl::Milliseconds(heartbeat.tables[table].age_ms);
-    const Duration silence = answers ? settings_.silence : settings_.pushed_silence;
-    const Time until = made + std::min(silence, settings_.freshness - age);
+    const Duration max_age =
+        answers ? settings_.max_heartbeat_age : settings_.max_pushed_heartbeat_age;
+    const Time until = made + std::min(max_age, settings_.freshness - age);
     if (age >= settings_.freshness) {
       follower->Resume();
     } else if (until > now) {
@@ -206,9 +208,9 @@
   }
 }
 
-bool TableRelay::Reaches(const store::TableFollower& follower, const TableNews& news) {
-  const bool in_gap = news.gap_first < follower.as_of() && follower.as_of() < news.gap_last;
-  return follower.as_of() >= news.base && !in_gap;
+bool TableRelay::Reaches(const store::TableFollower& follower, const TableUpdate& update) {
+  const bool in_gap = update.gap_first < follower.as_of() && follower.as_of() < update.gap_last;
+  return follower.as_of() >= update.base && !in_gap;
 }
 
 std::vector<uint64_t> TableRelay::ChooseStandbys(std::vector<uint64_t> others) const {
--- a/src/core/membership/table_relay.h
+++ b/src/core/membership/table_relay.h
@@ -24,8 +24,8 @@
   Duration freshness = absl::Milliseconds(1500);
   /// Nor does one without a heartbeat for so long: one that answers a report counts from the
   /// report's send; one that was pushed, whose age is unknown, is heard for less.
-  Duration silence = absl::Milliseconds(700);
-  Duration pushed_silence = absl::Milliseconds(600);
+  Duration max_heartbeat_age = absl::Milliseconds(700);
+  Duration max_pushed_heartbeat_age = absl::Milliseconds(600);
   /// How long the store holds the coordinator's watches.
   Duration coordinator_watch_wait = absl::Seconds(5);
 };
@@ -43,10 +43,10 @@
   /// The machine was suspended.
   void OnResumed();
   /// Another call of this node got no answer.
-  void OnStoreUnanswered() { store_silent_ = true; }
+  void OnStoreUnanswered() { store_unresponsive_ = true; }
 
   /// At the coordinator: whether it holds changes that were not pushed.
-  bool HasNews() const;
+  bool HasUpdates() const;
   /// Puts into `heartbeat` what the reporter's copies lack.
   void AddToAnswer(const Report& report, Time now, Heartbeat* heartbeat) const;
   /// Puts into `heartbeat`, which goes to some nodes beside a push, what all were pushed already.
@@ -58,7 +58,7 @@
   bool TakeRows(const Heartbeat& heartbeat, Time now);
   /// The coordinator's heartbeat, its rows taken: decides who watches. It was made at `made` or
   /// later when it `answers` a report.
-  void OnCoordinatorHeard(const Heartbeat& heartbeat, Time made, bool answers, Time now);
+  void OnCoordinatorHeartbeat(const Heartbeat& heartbeat, Time made, bool answers, Time now);
   /// At the coordinator: which of the others, by incarnation, are to watch besides it. Spread over
   /// the fleet, and the same as long as they take part.
   std::vector<uint64_t> ChooseStandbys(std::vector<uint64_t> others) const;
@@ -74,7 +74,7 @@
   /// Whether this node is to watch besides the coordinator.
   bool IsStandby(const Heartbeat& heartbeat) const;
   /// Whether a copy, the news taken, is as whole as the coordinator's.
-  static bool Reaches(const store::TableFollower& follower, const TableNews& news);
+  static bool Reaches(const store::TableFollower& follower, const TableUpdate& update);
 
   RelaySettings settings_;
   uint64_t self_;
@@ -83,8 +83,8 @@
   Duration own_watch_wait_;
   bool leading_ = false;
   /// A call got no answer, and none has got one since.
-  bool store_silent_ = false;
-  Time watched_anew_ = absl::InfinitePast();
+  bool store_unresponsive_ = false;
+  Time watch_restarted_at_ = absl::InfinitePast();
   /// What the last push brought all copies to.
   std::array<store::RowVersion, kTables> pushed_ = {};
 };
--- a/src/core/membership/whole_copies.h
+++ b/src/core/membership/whole_copies.h
@@ -16,7 +16,7 @@
 
 namespace ladderstream::membership {
 
-class WholeCopies {
+class FullCopies {
  public:
   /// Whether a report may be answered with whole copies now; else `node` is one of those that
   /// get them when they are due.
--- a/src/gateway/settings/node_settings.cc
+++ b/src/gateway/settings/node_settings.cc
@@ -113,9 +113,11 @@
       LeaveBoundOf(*relay, connect_timeout).Total() - bounds.drain_time;
   relay->freshness = std::clamp(relay->freshness - beyond_drain_time, kLeastFreshness,
                                 std::max(kLeastFreshness, relay->freshness));
-  relay->silence =
-      std::min(relay->silence, std::max(relay->freshness / 3, relay->freshness - kOwnWatchReserve));
-  relay->pushed_silence = std::min(relay->pushed_silence, relay->silence - kPushedReserve);
+  relay->max_heartbeat_age =
+      std::min(relay->max_heartbeat_age,
+               std::max(relay->freshness / 3, relay->freshness - kOwnWatchReserve));
+  relay->max_pushed_heartbeat_age =
+      std::min(relay->max_pushed_heartbeat_age, relay->max_heartbeat_age - kPushedReserve);
 }
 
 void ReadMembership(SettingsReader* reader, membership::MembershipSettings* membership) {
@@ -126,7 +128,7 @@
                        &membership->longest_report_interval);
   reader->ReadNumber("membership.reports_per_second", kOptional, kRate,
                      &membership->reports_per_second);
-  reader->ReadDuration("membership.silence", kOptional, kShort, &membership->silence);
+  reader->ReadDuration("membership.silence", kOptional, kShort, &membership->coordinator_timeout);
   reader->ReadDuration("membership.member_lifetime", kOptional, kShort,
                        &membership->member_lifetime);
   reader->ReadDuration("membership.confirmation", kOptional, kShort, &membership->confirmation);
@@ -151,7 +153,7 @@
   ownership->store_timeout *= share;
   ownership->order_timeout *= share;
   settings->membership.shortest_report_interval *= share;
-  settings->membership.silence *= share;
+  settings->membership.coordinator_timeout *= share;
 }
 
 void ReadOwnership(SettingsReader* reader, ownership::CoordinatorSettings* ownership) {
--- a/src/node/control_plane.h
+++ b/src/node/control_plane.h
@@ -104,16 +104,16 @@
   // Actions of the membership.
   void Carry(const membership::SendAction& send);
   void Carry(const membership::ReportDueAction& due);
-  void Carry(const membership::HeartbeatHeardAction& heard);
+  void Carry(const membership::HeartbeatReceivedAction& heard);
   void Carry(const membership::CoordinatorEndedAction& ended);
   void Carry(const membership::MapChangedAction& changed);
   void Carry(const membership::MapConfirmedAction& confirmed);
   void Carry(const membership::MembersChangedAction& changed);
   void Carry(const membership::MembersConfirmedAction& confirmed);
   void Carry(const membership::ReportReceivedAction& report);
-  void Carry(const membership::SuspectsHeardAction& heard);
-  void Carry(const membership::LimitsHeardAction& heard);
-  void Carry(const membership::PermitAskedAction& asked);
+  void Carry(const membership::SuspectsReceivedAction& heard);
+  void Carry(const membership::LimitsReceivedAction& heard);
+  void Carry(const membership::PermitRequestedAction& asked);
   void Carry(const membership::PermitAnsweredAction& answered);
   void Carry(const membership::TablesMergedAction& merged);
 
--- a/src/node/control_plane_actions.cc
+++ b/src/node/control_plane_actions.cc
@@ -37,7 +37,7 @@
                          Now());
 }
 
-void ControlPlane::Carry(const membership::HeartbeatHeardAction& heard) {
+void ControlPlane::Carry(const membership::HeartbeatReceivedAction& heard) {
   coordinator_.OnHeartbeat(heard.lease, Now());
 }
 
@@ -69,7 +69,7 @@
   listener_->OnMembersConfirmed(confirmed.until);
 }
 
-void ControlPlane::Carry(const membership::SuspectsHeardAction& heard) {
+void ControlPlane::Carry(const membership::SuspectsReceivedAction& heard) {
   listener_->OnSuspects(heard.suspects);
 }
 
@@ -78,11 +78,11 @@
   PumpSoon();
 }
 
-void ControlPlane::Carry(const membership::LimitsHeardAction& heard) {
+void ControlPlane::Carry(const membership::LimitsReceivedAction& heard) {
   listener_->OnLimits(heard.limits);
 }
 
-void ControlPlane::Carry(const membership::PermitAskedAction& asked) {
+void ControlPlane::Carry(const membership::PermitRequestedAction& asked) {
   membership_.SendPermitAnswer(asked.from, listener_->OnPermitQuestion(asked.question));
 }
 
--- a/tests/unit/membership/coordinating_test.cc
+++ b/tests/unit/membership/coordinating_test.cc
@@ -8,7 +8,7 @@
 namespace {
 
 // Who may send to a cold back end is drawn from the list: a node without one may not.
-BOOST_AUTO_TEST_CASE(ANodeThatIsAloneTellsOfItsListWhenItLeads) {
+BOOST_AUTO_TEST_CASE(SingleNodePublishesItsMemberListWhenItBecomesCoordinator) {
   Node node(2);
   node.membership.OnLeaseHeld(MakeLease(3, 2), kStart + absl::Seconds(2), kStart);
   const auto changed = node.Take<MembersChangedAction>();
@@ -21,7 +21,7 @@
   BOOST_TEST((confirmed.front().until == kStart + absl::Seconds(3)));
 }
 
-BOOST_FIXTURE_TEST_CASE(AnAnsweredReportConfirmsTheListOfMembers, Follower) {
+BOOST_FIXTURE_TEST_CASE(AnsweredReportConfirmsMemberList, Follower) {
   Heartbeat list = MakeHeartbeat(3, 2, {3, 1});
   list.members = {MakeIdentity(1), MakeIdentity(2)};
   list.members_version = 5;
--- a/tests/unit/membership/member_table_test.cc
+++ b/tests/unit/membership/member_table_test.cc
@@ -104,7 +104,7 @@
   MemberTable copy{MakeIdentity(3), kLifetime, absl::Milliseconds(10)};
 };
 
-BOOST_FIXTURE_TEST_CASE(ACopyIsSentWhatChangedSinceItsVersion, ChangesFixture) {
+BOOST_FIXTURE_TEST_CASE(CopyReceivesChangesSinceItsVersion, ChangesFixture) {
   Join(4);
   Publish();
   PeerIdentity restarted = MakeIdentity(2);
@@ -120,7 +120,7 @@
   BOOST_TEST(Listed(copy) == (std::set<uint64_t>{1, 3, 4, 20}), boost::test_tools::per_element());
 }
 
-BOOST_FIXTURE_TEST_CASE(ChangesOfAnotherBaseAreNotTaken, ChangesFixture) {
+BOOST_FIXTURE_TEST_CASE(ChangesWithAnotherBaseAreRejected, ChangesFixture) {
   const uint64_t base = table.version();
   Join(4);
   Publish();
@@ -135,7 +135,7 @@
   BOOST_TEST(Listed(copy) == Listed(table), boost::test_tools::per_element());
 }
 
-BOOST_FIXTURE_TEST_CASE(WhoReportedToTheCopyItselfIsNoMember, ChangesFixture) {
+BOOST_FIXTURE_TEST_CASE(ReporterToACopyIsNoMember, ChangesFixture) {
   copy.OnReport(MakeIdentity(9), 9, now);
   PeerIdentity restarted = MakeIdentity(2);
   restarted.incarnation = 20;
@@ -146,14 +146,14 @@
   BOOST_TEST(Listed(copy) == Listed(table), boost::test_tools::per_element());
 }
 
-BOOST_FIXTURE_TEST_CASE(AnUnknownVersionIsSentTheWholeList, ChangesFixture) {
+BOOST_FIXTURE_TEST_CASE(UnknownVersionReceivesFullList, ChangesFixture) {
   BOOST_TEST(Lacking(0).members.size() == 3);
   BOOST_TEST(Lacking(table.version() - 1000).members.size() == 3);
   BOOST_TEST(Lacking(table.version()).members.empty());
   BOOST_TEST(Lacking(table.version()).member_changes.empty());
 }
 
-BOOST_FIXTURE_TEST_CASE(ASuccessorGoesOnFromTheListThatItTookOver, ChangesFixture) {
+BOOST_FIXTURE_TEST_CASE(SuccessorContinuesFromAdoptedList, ChangesFixture) {
   MemberTable successor(MakeIdentity(2), kLifetime, absl::Milliseconds(10));
   successor.Adopt(MakeMemberList(table.members(), table.version()), now);
   successor.TakeOver(2, now);
@@ -165,7 +165,7 @@
   BOOST_TEST(Listed(copy) == Listed(successor), boost::test_tools::per_element());
 }
 
-BOOST_FIXTURE_TEST_CASE(AShortIdentityIsEnoughForAKnownMember, ChangesFixture) {
+BOOST_FIXTURE_TEST_CASE(IncarnationIdentifiesKnownMember, ChangesFixture) {
   PeerIdentity only_incarnation;
   only_incarnation.incarnation = 2;
   const auto known = table.OnReport(only_incarnation, 9, now);
--- a/tests/unit/membership/membership_test.cc
+++ b/tests/unit/membership/membership_test.cc
@@ -6,7 +6,7 @@
 namespace ladderstream::membership {
 namespace {
 
-BOOST_AUTO_TEST_CASE(AStartingNodeAsksItsSeedsWhoCoordinates) {
+BOOST_AUTO_TEST_CASE(StartingNodeAsksSeedsForTheCoordinator) {
   Node node(1);
   node.membership.OnTick(kStart);
   const auto reports = node.TakeSent<Report>();
@@ -22,12 +22,12 @@
   BOOST_REQUIRE(node.membership.holder().has_value());
   BOOST_TEST(node.membership.holder()->incarnation == 2);
   // Hearsay is no sign of life of the coordinator and confirms no map.
-  BOOST_TEST(node.Take<HeartbeatHeardAction>().empty());
+  BOOST_TEST(node.Take<HeartbeatReceivedAction>().empty());
   BOOST_TEST((node.membership.map_confirmed_until() == absl::InfinitePast()));
 }
 
 /// Pushes alone would have to keep a node going that waits longer for its first report.
-BOOST_FIXTURE_TEST_CASE(ManyNodesReportToASuccessorWithinTheLongestInterval, Follower) {
+BOOST_FIXTURE_TEST_CASE(ManyNodesReportToSuccessorWithinLongestInterval, Follower) {
   constexpr uint64_t kManyNodes = 1200;
   Heartbeat heartbeat = MakeHeartbeat(3, 2, {3, 1});
   for (uint64_t number = 1; number <= kManyNodes; ++number) {
@@ -41,7 +41,7 @@
   }
 }
 
-BOOST_FIXTURE_TEST_CASE(AKnownSenderTellsItsIncarnationOnly, Follower) {
+BOOST_FIXTURE_TEST_CASE(KnownSenderSendsIncarnationOnly, Follower) {
   const auto sender_of_next = [this](bool wanted, uint64_t epoch, uint64_t coordinator) {
     membership.SendReport({}, {}, kStart);
     const Report report = TakeSent<Report>().front().second;
@@ -53,7 +53,7 @@
   BOOST_TEST((sender_of_next(true, 3, 2) == self));
   BOOST_TEST((sender_of_next(false, 3, 2) == self));
   const PeerIdentity shortened = sender_of_next(true, 3, 2);
-  BOOST_TEST(!shortened.IsWhole());
+  BOOST_TEST(!shortened.IsComplete());
   BOOST_TEST(shortened.incarnation == self.incarnation);
   BOOST_TEST((sender_of_next(false, 3, 2) == self));
   // A successor may know less.
@@ -61,7 +61,7 @@
   BOOST_TEST((sender_of_next(false, 4, 3) == self));
 }
 
-BOOST_FIXTURE_TEST_CASE(ReportsGoToTheCoordinatorAtTheInterval, Follower) {
+BOOST_FIXTURE_TEST_CASE(ReportsGoToCoordinatorAtInterval, Follower) {
   Time now = kStart + kSpread;
   for (int i = 0; i < 3; ++i) {
     membership.OnTick(now);
@@ -93,7 +93,7 @@
   BOOST_TEST((node.membership.NextWake() >= kStart + absl::Milliseconds(1900)));
 }
 
-BOOST_AUTO_TEST_CASE(NodesThatMissedAMapDoNotReportAllAtOnce) {
+BOOST_AUTO_TEST_CASE(NodesThatMissedAMapSpreadTheirReports) {
   Heartbeat heartbeat = MakeHeartbeat(3, 2, {3, 1});
   for (uint64_t number = 1; number <= 200; ++number) {
     heartbeat.members.push_back(MakeIdentity(number));
@@ -113,7 +113,7 @@
   BOOST_TEST(*waits.begin() >= absl::ZeroDuration());
 }
 
-BOOST_FIXTURE_TEST_CASE(AnAnswerConfirmsFromTheReportsSend, Follower) {
+BOOST_FIXTURE_TEST_CASE(AnswerConfirmsMapFromSendTimeOfReport, Follower) {
   const uint64_t sequence = SendReport(kStart);
   Answer(sequence, MakeHeartbeat(3, 2, {3, 1}), kStart + absl::Milliseconds(700));
   const Time until = kStart + kConfirmation;
@@ -126,7 +126,7 @@
 
 /// A successor waits for maps that were confirmed before the end of the lease, so requests need
 /// not.
-BOOST_FIXTURE_TEST_CASE(AMapStaysConfirmedBeyondTheLeaseOfWhoConfirmedIt, Follower) {
+BOOST_FIXTURE_TEST_CASE(MapConfirmationOutlastsCoordinatorLease, Follower) {
   Heartbeat ending_lease = MakeHeartbeat(3, 2, {3, 1});
   ending_lease.lease_left_ms = 50;
   Answer(SendReport(kStart), ending_lease, kStart);
@@ -137,14 +137,14 @@
   BOOST_TEST((membership.map_confirmed_until() == kStart + kConfirmation));
 }
 
-BOOST_FIXTURE_TEST_CASE(NoConfirmationOutlastsItsBound, Follower) {
+BOOST_FIXTURE_TEST_CASE(ConfirmationIsBounded, Follower) {
   Heartbeat long_lease = MakeHeartbeat(3, 2, {3, 1});
   long_lease.lease_left_ms = 60'000;
   Answer(SendReport(kStart), long_lease, kStart);
   BOOST_TEST((membership.map_confirmed_until() == kStart + kConfirmation));
 }
 
-BOOST_FIXTURE_TEST_CASE(APushConfirmsForAShortTimeOnly, Follower) {
+BOOST_FIXTURE_TEST_CASE(PushConfirmsForShortTime, Follower) {
   membership.OnMessage(kConnection, MakeHeartbeat(3, 2, {3, 1}), kStart);
   BOOST_TEST((membership.map_confirmed_until() == kStart + absl::Milliseconds(500)));
 }
@@ -160,13 +160,13 @@
 }
 
 /// At 295 nodes each bare heartbeat between two pushes once stopped all of them from using the map.
-BOOST_FIXTURE_TEST_CASE(ANewerMapElsewhereDoesNotStopTheUseOfAConfirmedOne, Follower) {
+BOOST_FIXTURE_TEST_CASE(NewerMapElsewhereKeepsConfirmedMapInUse, Follower) {
   Answer(SendReport(kStart), MakeHeartbeat(3, 2, {3, 1}), kStart);
   membership.OnMessage(kConnection, MakeHeartbeat(3, 2, {3, 2}), kStart + absl::Milliseconds(450));
   BOOST_TEST((membership.map_confirmed_until() == kStart + kConfirmation));
 }
 
-BOOST_FIXTURE_TEST_CASE(OnlyNewerMapsAreTaken, Follower) {
+BOOST_FIXTURE_TEST_CASE(OnlyNewerMapsAreAdopted, Follower) {
   Heartbeat newer = MakeHeartbeat(3, 2, {3, 2});
   newer.map = {MakeMap(3, 2)};
   membership.OnMessage(kConnection, newer, kStart);
@@ -178,7 +178,7 @@
   BOOST_TEST(Take<MapChangedAction>().empty());
 }
 
-BOOST_FIXTURE_TEST_CASE(TheHighestEpochCoordinates, Follower) {
+BOOST_FIXTURE_TEST_CASE(HighestEpochCoordinates, Follower) {
   Heartbeat successor = MakeHeartbeat(4, 6, {4, 1});
   successor.map = {MakeMap(4, 1)};
   membership.OnMessage(kConnection, successor, kStart);
@@ -190,19 +190,19 @@
   membership.OnMessage(kConnection, deposed, kStart + absl::Milliseconds(400));
   BOOST_TEST(membership.holder()->incarnation == 6);
   BOOST_TEST((membership.map_confirmed_until() == confirmed));
-  BOOST_TEST(Take<HeartbeatHeardAction>().empty());
+  BOOST_TEST(Take<HeartbeatReceivedAction>().empty());
   membership.SendReport({}, {}, kStart);
   BOOST_TEST((TakeSent<Report>().front().first.front().address == MakeIdentity(6).address));
 }
 
-BOOST_FIXTURE_TEST_CASE(AnEarlierEpochOfTheSameNodeCountsNoLonger, Follower) {
+BOOST_FIXTURE_TEST_CASE(EarlierEpochOfSameNodeIsIgnored, Follower) {
   membership.OnHolderKnown(MakeLease(5, 2), kStart);
   membership.OnMessage(kConnection, MakeHeartbeat(3, 2, {3, 1}), kStart);
   BOOST_TEST((membership.map_confirmed_until() == absl::InfinitePast()));
-  BOOST_TEST(Take<HeartbeatHeardAction>().empty());
+  BOOST_TEST(Take<HeartbeatReceivedAction>().empty());
 }
 
-BOOST_FIXTURE_TEST_CASE(ARefusedConnectionSaysThatTheCoordinatorEnded, Follower) {
+BOOST_FIXTURE_TEST_CASE(RefusedConnectionReportsCoordinatorEnded, Follower) {
   membership.OnConnectFailed(MakeIdentity(2).address, false, kStart);
   membership.OnConnectFailed(MakeIdentity(3).address, true, kStart);
   BOOST_TEST(Take<CoordinatorEndedAction>().empty());
@@ -210,21 +210,21 @@
   BOOST_TEST(Take<CoordinatorEndedAction>().front().incarnation == 2);
 }
 
-BOOST_FIXTURE_TEST_CASE(AnotherProcessAtItsAddressSaysSoToo, Follower) {
+BOOST_FIXTURE_TEST_CASE(AnotherProcessAtCoordinatorAddressReportsCoordinatorEnded, Follower) {
   Heartbeat stranger;
   stranger.sender = 77;
   Answer(SendReport(kStart), stranger, kStart);
   BOOST_TEST(Take<CoordinatorEndedAction>().front().incarnation == 2);
 }
 
-BOOST_FIXTURE_TEST_CASE(AResignationCountsOnlyForTheCoordinator, Follower) {
+BOOST_FIXTURE_TEST_CASE(ResignationOfNonCoordinatorIsIgnored, Follower) {
   membership.OnMessage(kConnection, Resignation{3}, kStart);
   BOOST_TEST(Take<CoordinatorEndedAction>().empty());
   membership.OnMessage(kConnection, Resignation{2}, kStart);
   BOOST_TEST(Take<CoordinatorEndedAction>().size() == 1);
 }
 
-BOOST_FIXTURE_TEST_CASE(ALostConnectionToTheCoordinatorIsTriedAtOnce, Follower) {
+BOOST_FIXTURE_TEST_CASE(LostConnectionToCoordinatorTriggersReport, Follower) {
   membership.OnTick(kStart + kSpread);
   const uint64_t sequence = SendReport(kStart + kSpread);
   Answer(sequence, MakeHeartbeat(3, 2, {3, 1}), kStart + kSpread);
@@ -232,7 +232,7 @@
   BOOST_TEST((membership.NextWake() == kStart + absl::Milliseconds(100)));
 }
 
-BOOST_FIXTURE_TEST_CASE(AfterASilenceOthersAreAskedForASuccessor, Follower) {
+BOOST_FIXTURE_TEST_CASE(UnresponsiveCoordinatorTriggersSearchForSuccessor, Follower) {
   membership.OnMessage(kConnection, MakeHeartbeat(3, 2, {3, 1}), kStart);
   membership.OnTick(kStart + absl::Milliseconds(900));
   BOOST_TEST(TakeSent<Report>().empty());
--- a/tests/unit/membership/message_codec_test.cc
+++ b/tests/unit/membership/message_codec_test.cc
@@ -21,7 +21,7 @@
 
 bool IsMalformed(const Message& message) { return IsMalformed(EncodeMessage(message)); }
 
-Report SoundReport() {
+Report ValidReport() {
   Report report;
   report.sender = MakeIdentity(1);
   report.loads.push_back(
@@ -29,7 +29,7 @@
   return report;
 }
 
-Heartbeat SoundHeartbeat() {
+Heartbeat ValidHeartbeat() {
   Heartbeat heartbeat;
   heartbeat.sender = 1;
   heartbeat.lease = MakeLease(3, 1);
@@ -39,16 +39,16 @@
   return heartbeat;
 }
 
-BOOST_AUTO_TEST_CASE(MessagesSurviveTheWire) {
-  const Message report = DecodeMessage(EncodeMessage(SoundReport()));
+BOOST_AUTO_TEST_CASE(MessagesRoundTrip) {
+  const Message report = DecodeMessage(EncodeMessage(ValidReport()));
   BOOST_TEST((std::get<Report>(report).sender == MakeIdentity(1)));
   BOOST_TEST(std::get<Report>(report).loads.front().busy_us.front() == 900);
   BOOST_TEST(std::get<Report>(report).loads.front().includes_wait.front() == 1);
   BOOST_TEST(std::get<Report>(report).loads.front().reported_share == 0.5);
-  const Message heartbeat = DecodeMessage(EncodeMessage(SoundHeartbeat()));
-  BOOST_TEST((std::get<Heartbeat>(heartbeat).members == SoundHeartbeat().members));
+  const Message heartbeat = DecodeMessage(EncodeMessage(ValidHeartbeat()));
+  BOOST_TEST((std::get<Heartbeat>(heartbeat).members == ValidHeartbeat().members));
   BOOST_TEST((std::get<Heartbeat>(heartbeat).map.front().services ==
-              SoundHeartbeat().map.front().services));
+              ValidHeartbeat().map.front().services));
 }
 
 /// The message with its body's last fields taken away, or with one more, as a node of the version
@@ -67,8 +67,8 @@
 }
 
 /// During a rolling update nodes of two versions talk to each other.
-BOOST_AUTO_TEST_CASE(HeartbeatsOfTheVersionBeforeAndOfTheNextAreTaken) {
-  Heartbeat heartbeat = SoundHeartbeat();
+BOOST_AUTO_TEST_CASE(HeartbeatsOfPreviousAndNextVersionAreAccepted) {
+  Heartbeat heartbeat = ValidHeartbeat();
   heartbeat.standbys = {2, 3};
   heartbeat.suspects = {{1, 2, {"backend-1"}, {30}, 40}};
   heartbeat.limits = {{"backend-1", 3.4, 30}};
@@ -81,8 +81,8 @@
   BOOST_TEST(std::get<Heartbeat>(next).standbys.size() == 2);
 }
 
-/// TableNews of the version before.
-struct ShorterTableNews {
+/// TableUpdate of the version before.
+struct PreviousTableUpdate {
   uint64_t base = 0;
   uint64_t version = 0;
   uint64_t newest_change = 0;
@@ -94,39 +94,39 @@
   MSGPACK_DEFINE_ARRAY(base, version, newest_change, rows, removals, age_ms, gap_first, gap_last);
 };
 
-BOOST_AUTO_TEST_CASE(TableNewsOfTheVersionBeforeDoNotTellHowOldTheyAre) {
+BOOST_AUTO_TEST_CASE(TableUpdateOfPreviousVersionHasUnknownChangeAge) {
   msgpack::sbuffer buffer;
-  msgpack::pack(buffer, ShorterTableNews{40, 50, 45, {}, {{"i-1", 41}}, 7, 0, 0});
-  const auto news = msgpack::unpack(buffer.data(), buffer.size())->as<TableNews>();
-  BOOST_TEST(news.age_ms == 7);
-  BOOST_TEST(news.change_age_ms == kUnknownAge);
+  msgpack::pack(buffer, PreviousTableUpdate{40, 50, 45, {}, {{"i-1", 41}}, 7, 0, 0});
+  const auto update = msgpack::unpack(buffer.data(), buffer.size())->as<TableUpdate>();
+  BOOST_TEST(update.age_ms == 7);
+  BOOST_TEST(update.change_age_ms == kUnknownAge);
 }
 
-BOOST_AUTO_TEST_CASE(EveryCutOrLongerMessageIsRefused) {
-  const std::string whole = EncodeMessage(SoundHeartbeat());
-  for (size_t size = 0; size < whole.size(); ++size) {
-    BOOST_TEST(IsMalformed(whole.substr(0, size)));
+BOOST_AUTO_TEST_CASE(TruncatedOrExtendedMessagesAreRejected) {
+  const std::string complete = EncodeMessage(ValidHeartbeat());
+  for (size_t size = 0; size < complete.size(); ++size) {
+    BOOST_TEST(IsMalformed(complete.substr(0, size)));
   }
-  BOOST_TEST(IsMalformed(whole + '\0'));
+  BOOST_TEST(IsMalformed(complete + '\0'));
 }
 
-BOOST_AUTO_TEST_CASE(ListsThatDoNotMatchAreRefused) {
-  Report report = SoundReport();
+BOOST_AUTO_TEST_CASE(MismatchedListsAreRejected) {
+  Report report = ValidReport();
   report.loads.front().counts.clear();
   BOOST_TEST(IsMalformed(report));
-  report = SoundReport();
+  report = ValidReport();
   report.loads.front().answers.push_back(1);
   BOOST_TEST(IsMalformed(report));
-  report = SoundReport();
+  report = ValidReport();
   report.loads.front().counts.front() = std::numeric_limits<float>::quiet_NaN();
   BOOST_TEST(IsMalformed(report));
-  report = SoundReport();
+  report = ValidReport();
   report.loads.front().denied_keys = {ownership::kLastKey + 1};
   BOOST_TEST(IsMalformed(report));
 }
 
-BOOST_AUTO_TEST_CASE(TwoListsOfMembersAreRefused) {
-  Heartbeat heartbeat = SoundHeartbeat();
+BOOST_AUTO_TEST_CASE(TwoMemberListsAreRejected) {
+  Heartbeat heartbeat = ValidHeartbeat();
   heartbeat.member_changes.emplace_back();
   BOOST_TEST(IsMalformed(heartbeat));
   heartbeat.members.clear();
@@ -135,20 +135,20 @@
   BOOST_TEST(IsMalformed(heartbeat));
 }
 
-BOOST_AUTO_TEST_CASE(MapsWithHolesAreRefused) {
-  Heartbeat heartbeat = SoundHeartbeat();
+BOOST_AUTO_TEST_CASE(MapsWithGapsAreRejected) {
+  Heartbeat heartbeat = ValidHeartbeat();
   auto& assignments = heartbeat.map.front().services.at("scripts").assignments;
   assignments = {{{0, 9}, "backend-1", 1}, {{11, ownership::kLastKey}, "backend-2", 1}};
   BOOST_TEST(IsMalformed(heartbeat));
   assignments = {{{0, 9}, "backend-1", 1}};
   BOOST_TEST(IsMalformed(heartbeat));
-  heartbeat = SoundHeartbeat();
+  heartbeat = ValidHeartbeat();
   heartbeat.map_version.sequence += 1;
   BOOST_TEST(IsMalformed(heartbeat));
 }
 
-BOOST_AUTO_TEST_CASE(MapChangesOutOfOrderAreRefused) {
-  Heartbeat heartbeat = SoundHeartbeat();
+BOOST_AUTO_TEST_CASE(MapChangesOutOfOrderAreRejected) {
+  Heartbeat heartbeat = ValidHeartbeat();
   heartbeat.map.clear();
   ownership::MapChanges changes;
   changes.base = {3, 1};
@@ -163,28 +163,28 @@
   BOOST_TEST(IsMalformed(heartbeat));
 }
 
-BOOST_AUTO_TEST_CASE(TablesThatDoNotLeadOnAreRefused) {
-  Heartbeat heartbeat = SoundHeartbeat();
-  const TableNews sound{40, 50, 45, {{"config", "r12", 45}}, {{"i-1", 41}}, 7};
-  heartbeat.tables = {sound, sound};
+BOOST_AUTO_TEST_CASE(InconsistentTableUpdatesAreRejected) {
+  Heartbeat heartbeat = ValidHeartbeat();
+  const TableUpdate valid{40, 50, 45, {{"config", "r12", 45}}, {{"i-1", 41}}, 7};
+  heartbeat.tables = {valid, valid};
   const Message decoded = DecodeMessage(EncodeMessage(heartbeat));
   BOOST_TEST(std::get<Heartbeat>(decoded).tables.back().removals.front().version == 41);
   heartbeat.tables.pop_back();
   BOOST_TEST(IsMalformed(heartbeat));
-  for (const TableNews& broken :
-       {TableNews{51, 50, 45, {}, {}, 7}, TableNews{40, 50, 51, {}, {}, 7},
-        TableNews{40, 50, 45, {{"config", "r12", 40}}, {}, 7},
-        TableNews{40, 50, 45, {}, {{"i-1", 40}}, 7}}) {
-    heartbeat.tables = {sound, broken};
+  for (const TableUpdate& malformed :
+       {TableUpdate{51, 50, 45, {}, {}, 7}, TableUpdate{40, 50, 51, {}, {}, 7},
+        TableUpdate{40, 50, 45, {{"config", "r12", 40}}, {}, 7},
+        TableUpdate{40, 50, 45, {}, {{"i-1", 40}}, 7}}) {
+    heartbeat.tables = {valid, malformed};
     BOOST_TEST(IsMalformed(heartbeat));
   }
 }
 
-BOOST_AUTO_TEST_CASE(AnnouncedSizesAreNotBelieved) {
+BOOST_AUTO_TEST_CASE(AnnouncedSizesAreNotTrusted) {
   // A list of four thousand million values, of which none follows.
   BOOST_TEST(IsMalformed(std::string("\x92\x00\xdd\xff\xff\xff\xff", 7)));
   // Sound but for the number of values in all lists together.
-  Report report = SoundReport();
+  Report report = ValidReport();
   report.loads.assign(9, LoadReport{});
   for (LoadReport& load : report.loads) {
     load.denied_keys.assign(ownership::kLastKey + 1, 7);
--- a/tests/unit/membership/message_kind_test.cc
+++ b/tests/unit/membership/message_kind_test.cc
@@ -8,10 +8,10 @@
 namespace ladderstream::membership {
 namespace {
 
-BOOST_AUTO_TEST_CASE(a_heartbeat_counts_as_the_largest_thing_it_carries) {
+BOOST_AUTO_TEST_CASE(HeartbeatKindIsItsLargestContent) {
   Heartbeat heartbeat;
   BOOST_TEST((KindOf(heartbeat) == MessageKind::kHeartbeat));
-  heartbeat.tables = {TableNews{}, TableNews{}};
+  heartbeat.tables = {TableUpdate{}, TableUpdate{}};
   BOOST_TEST((KindOf(heartbeat) == MessageKind::kHeartbeat));
   heartbeat.map_changes.emplace_back();
   BOOST_TEST((KindOf(heartbeat) == MessageKind::kMapChanges));
@@ -23,7 +23,7 @@
   BOOST_TEST((KindOf(heartbeat) == MessageKind::kMap));
 }
 
-BOOST_AUTO_TEST_CASE(destinations_tell_whether_they_leave_the_zone) {
+BOOST_AUTO_TEST_CASE(DestinationsReportTheirZoneScope) {
   PeerIdentity near = MakeIdentity(2);
   PeerIdentity far = MakeIdentity(3);
   far.zone = "zone-b";
--- a/tests/unit/membership/relay_world.h
+++ b/tests/unit/membership/relay_world.h
@@ -112,7 +112,7 @@
     }
   }
   /// Until `holds` for every node but those left out, at most for `most`; how long that took.
-  Duration RunUntil(const std::function<bool(const WorldNode&)>& holds, Duration most,
+  Duration RunUntil(const std::function<bool(const WorldNode&)>& holds, Duration max_duration,
                     uint64_t left_out = 0) {
     const Time start = now;
     const auto all = [&] {
@@ -123,7 +123,7 @@
       }
       return true;
     };
-    while (!all() && now - start < most) {
+    while (!all() && now - start < max_duration) {
       Run(kStep);
     }
     return now - start;
@@ -167,7 +167,7 @@
     node->membership.OnTick(now);
     Poll(node, &node->configuration);
     Poll(node, &node->backends);
-    Carry(number, node);
+    Execute(number, node);
   }
 
   void Poll(WorldNode* node, store::TableFollower* follower) {
@@ -191,16 +191,16 @@
                 });
   }
 
-  void Carry(uint64_t number, WorldNode* node) {
+  void Execute(uint64_t number, WorldNode* node) {
     for (MembershipAction& action : node->membership.TakeActions()) {
       if (std::holds_alternative<ReportDueAction>(action)) {
         node->membership.SendReport({}, {}, now);
       }
-      if (const auto* heard = std::get_if<SuspectsHeardAction>(&action)) {
-        on_suspects(number, heard->suspects);
+      if (const auto* received = std::get_if<SuspectsReceivedAction>(&action)) {
+        on_suspects(number, received->suspects);
       }
-      if (const auto* heard = std::get_if<LimitsHeardAction>(&action)) {
-        on_limits(number, heard->limits);
+      if (const auto* received = std::get_if<LimitsReceivedAction>(&action)) {
+        on_limits(number, received->limits);
       }
       if (auto* send = std::get_if<SendAction>(&action)) {
         Deliver(number, *send);
--- a/tests/unit/membership/snapshot_test.cc
+++ b/tests/unit/membership/snapshot_test.cc
@@ -33,18 +33,18 @@
   return heartbeat;
 }
 
-BOOST_AUTO_TEST_CASE(ANodeTurnedAwayByTheStoreGetsTheRowsFromAnother) {
-  Node asker(1);
+BOOST_AUTO_TEST_CASE(NodeRejectedByTheStoreFetchesRowsFromAnotherNode) {
+  Node requester(1);
   Node helper(2);
   helper.LoadTables({{"config", "r12", 40}}, {{"i-1", "ready", 50}}, 60, kStart);
-  RefuseUntil(asker, kStart, kStart + absl::Milliseconds(299));
-  asker.membership.OnTick(kStart + absl::Milliseconds(299));
-  BOOST_TEST(asker.TakeSent<SnapshotRequest>().empty());
+  RefuseUntil(requester, kStart, kStart + absl::Milliseconds(299));
+  requester.membership.OnTick(kStart + absl::Milliseconds(299));
+  BOOST_TEST(requester.TakeSent<SnapshotRequest>().empty());
 
   const Time later = kStart + absl::Milliseconds(301);
-  RefuseUntil(asker, later, later);
-  asker.membership.OnTick(later);
-  const auto questions = asker.TakeSent<SnapshotRequest>();
+  RefuseUntil(requester, later, later);
+  requester.membership.OnTick(later);
+  const auto questions = requester.TakeSent<SnapshotRequest>();
   BOOST_REQUIRE(questions.size() == 1);
   BOOST_TEST((questions.front().first == std::vector<Destination>{{kSeed, 0}}));
   helper.membership.OnMessage(kConnection, questions.front().second, later);
@@ -53,46 +53,46 @@
   BOOST_TEST(answers.front().first.front().connection == kConnection);
   BOOST_TEST(answers.front().second.age_ms == 301);
 
-  asker.membership.OnMessage(kConnection, answers.front().second, later);
-  BOOST_TEST(asker.Take<TablesMergedAction>().size() == 1);
-  BOOST_TEST(asker.configuration.rows().at("config").value == "r12");
-  BOOST_TEST(asker.backends.rows().at("i-1").version == 50);
-  BOOST_TEST((asker.backends.last_confirmed() == kStart));
-  BOOST_TEST(asker.backends.RecentlyFailed(later));
+  requester.membership.OnMessage(kConnection, answers.front().second, later);
+  BOOST_TEST(requester.Take<TablesMergedAction>().size() == 1);
+  BOOST_TEST(requester.configuration.rows().at("config").value == "r12");
+  BOOST_TEST(requester.backends.rows().at("i-1").version == 50);
+  BOOST_TEST((requester.backends.last_confirmed() == kStart));
+  BOOST_TEST(requester.backends.RecentlyFailed(later));
 }
 
-BOOST_AUTO_TEST_CASE(ALateSnapshotConfirmsFromItsQuestionsSend) {
+BOOST_AUTO_TEST_CASE(LateSnapshotConfirmsFromSendTimeOfItsRequest) {
   // What the copies lack may have changed while the answer was on its way.
-  Node asker(1);
+  Node requester(1);
   Node helper(2);
   helper.LoadTables({{"config", "r12", 40}}, {{"i-1", "ready", 50}}, 60, kStart);
   const Time asked = kStart + absl::Milliseconds(301);
-  RefuseUntil(asker, kStart, asked);
-  asker.membership.OnTick(asked);
-  const auto questions = asker.TakeSent<SnapshotRequest>();
+  RefuseUntil(requester, kStart, asked);
+  requester.membership.OnTick(asked);
+  const auto questions = requester.TakeSent<SnapshotRequest>();
   BOOST_REQUIRE(questions.size() == 1);
   helper.membership.OnMessage(kConnection, questions.front().second, asked);
   const Snapshot answer = helper.TakeSent<Snapshot>().front().second;
-  asker.membership.OnMessage(kConnection, answer, asked + absl::Seconds(2));
-  BOOST_TEST((asker.backends.last_confirmed() == kStart));
+  requester.membership.OnMessage(kConnection, answer, asked + absl::Seconds(2));
+  BOOST_TEST((requester.backends.last_confirmed() == kStart));
   // Nobody asked for this one: when it was made is not known.
-  Snapshot unasked = answer;
-  unasked.backends_version = 70;
-  unasked.age_ms = 0;
-  asker.membership.OnMessage(kConnection, unasked, asked + absl::Seconds(3));
-  BOOST_TEST(asker.backends.as_of() == 70);
-  BOOST_TEST((asker.backends.last_confirmed() == kStart));
+  Snapshot unsolicited = answer;
+  unsolicited.backends_version = 70;
+  unsolicited.age_ms = 0;
+  requester.membership.OnMessage(kConnection, unsolicited, asked + absl::Seconds(3));
+  BOOST_TEST(requester.backends.as_of() == 70);
+  BOOST_TEST((requester.backends.last_confirmed() == kStart));
 }
 
-BOOST_AUTO_TEST_CASE(QuestionsAreSpreadOverTheMembers) {
-  Node asker(1);
-  asker.membership.OnMessage(kConnection, MemberList({2, 3, 4}), kStart);
+BOOST_AUTO_TEST_CASE(SnapshotRequestsAreSpreadOverMembers) {
+  Node requester(1);
+  requester.membership.OnMessage(kConnection, MemberList({2, 3, 4}), kStart);
   std::set<std::string> asked;
   Time last = absl::InfinitePast();
   for (Time now = kStart; now < kStart + absl::Seconds(2); now += absl::Milliseconds(10)) {
-    RefuseUntil(asker, now, now);
-    asker.membership.OnTick(now);
-    for (const auto& [to, request] : asker.TakeSent<SnapshotRequest>()) {
+    RefuseUntil(requester, now, now);
+    requester.membership.OnTick(now);
+    for (const auto& [to, request] : requester.TakeSent<SnapshotRequest>()) {
       BOOST_TEST(now - last >= absl::Milliseconds(250));
       last = now;
       asked.insert(to.front().address.host);
@@ -102,7 +102,7 @@
              boost::test_tools::per_element());
 }
 
-BOOST_AUTO_TEST_CASE(NothingIsSentWhenNothingIsNewer) {
+BOOST_AUTO_TEST_CASE(SnapshotIsEmptyWhenNothingIsNewer) {
   Node helper(2);
   helper.LoadTables({{"config", "r12", 40}}, {{"i-1", "ready", 50}}, 60, kStart);
   helper.membership.OnMessage(kConnection, SnapshotRequest{60, 50}, kStart);
@@ -113,7 +113,7 @@
   BOOST_TEST(answers.front().second.configuration_version == 60);
 }
 
-BOOST_AUTO_TEST_CASE(AnOlderSnapshotIsNotTaken) {
+BOOST_AUTO_TEST_CASE(OlderSnapshotIsIgnored) {
   Node node(1);
   node.LoadTables({{"config", "r12", 40}}, {{"i-1", "ready", 50}}, 60, kStart);
   Snapshot older;
@@ -126,7 +126,7 @@
   BOOST_TEST(node.Take<TablesMergedAction>().empty());
 }
 
-BOOST_AUTO_TEST_CASE(AMissedChangeIsFetchedFromWhoeverKnowsIt) {
+BOOST_AUTO_TEST_CASE(MissedChangeIsFetchedFromNodeThatKnowsIt) {
   Node node(1);
   node.LoadTables({{"config", "r12", 40}}, {}, 60, kStart);
   node.configuration.Poll(kStart);  // the watch from 60 hangs
--- a/tests/unit/membership/table_relay_test.cc
+++ b/tests/unit/membership/table_relay_test.cc
@@ -48,7 +48,7 @@
   TableRelay relay{{}, 1, &configuration, &backends};
 };
 
-BOOST_AUTO_TEST_CASE(OnlyTheCoordinatorAndItsStandbysCallTheStore) {
+BOOST_AUTO_TEST_CASE(OnlyCoordinatorAndStandbysCallTheStore) {
   World world(kNodes, {});
   Settle(&world);
   const std::vector<uint64_t> callers = world.Callers([&] {
@@ -82,20 +82,20 @@
 //   up=24.02 store_calls detail="read 3 transaction 1 unanswered 0 watch 4"
 //   up=29.02 store_calls detail="read 3 transaction 44 unanswered 0 watch 4"
 //            configuration_applied configuration=7 age_ms=22787.1 cause=coordinator
-BOOST_AUTO_TEST_CASE(WhoTakesTheLeaseSendsItsWatchesAnew) {
+BOOST_AUTO_TEST_CASE(NewLeaseHolderRestartsItsWatches) {
   WatchingRelay node;
-  const std::vector<uint64_t> silent = node.Watch();
+  const std::vector<uint64_t> lost = node.Watch();
   node.now += absl::Seconds(2);
   node.relay.OnLeading(true);
   BOOST_TEST(node.Watch().size() == 2U);
   // Should an old one be answered all the same, that is not taken for the new one's answer.
-  node.backends.OnReply(silent.back(), {store::StoreStatus::kUnknown, {}, false, 0, ""}, node.now);
+  node.backends.OnReply(lost.back(), {store::StoreStatus::kUnknown, {}, false, 0, ""}, node.now);
   BOOST_TEST(node.Watch().empty());
 }
 
 // The same with a lease that outlasts the silence: its holder's watches were lost with its other
 // calls, and waited for up to 6 s. Found in reading.
-BOOST_AUTO_TEST_CASE(AHolderSendsItsWatchesAnewAfterACallWithoutAnAnswer) {
+BOOST_AUTO_TEST_CASE(LeaseHolderRestartsWatchesAfterUnansweredCall) {
   WatchingRelay node;
   node.relay.OnLeading(true);
   node.Watch();
@@ -114,19 +114,19 @@
 
 // A machine slept for 5 s with a watch on its way; the answer lay in its connection meanwhile, and
 // was taken for one that had come within a second of the change.
-BOOST_AUTO_TEST_CASE(WhatAnAnswerTellsAfterASuspensionMayBeAsOldAsTheSuspension) {
+BOOST_AUTO_TEST_CASE(ReplyAfterSuspensionMayReportOldChanges) {
   WatchingRelay node;
-  const Time asked = node.now;
+  const Time sent_at = node.now;
   const std::vector<uint64_t> watches = node.Watch();
   node.now += absl::Seconds(7);
   node.relay.OnResumed();
   const store::Row row{{"backends", "", "new"}, "value", 101, false};
   node.backends.OnReply(watches.back(), {store::StoreStatus::kDone, {row}, false, 101, ""},
                         node.now);
-  BOOST_TEST((node.backends.rows().at("new").changed_after <= asked));
+  BOOST_TEST((node.backends.rows().at("new").changed_after <= sent_at));
 }
 
-BOOST_AUTO_TEST_CASE(ANodeThatNobodyReliesOnKeepsItsWatches) {
+BOOST_AUTO_TEST_CASE(NodeThatDoesNotCoordinateKeepsItsWatches) {
   WatchingRelay node;
   node.Watch();
   node.relay.OnStoreUnanswered();
@@ -134,13 +134,13 @@
   BOOST_TEST(node.Watch().empty());
 }
 
-BOOST_AUTO_TEST_CASE(SwitchedOffEveryNodeWatches) {
+BOOST_AUTO_TEST_CASE(EveryNodeWatchesWhenRelayIsDisabled) {
   World world(kNodes, {.enabled = false});
   const auto callers = world.Callers([&] { Settle(&world); });
   BOOST_TEST(callers.size() == kNodes);
 }
 
-BOOST_AUTO_TEST_CASE(ACoordinatorCutFromTheStoreIsNotReliedOn) {
+BOOST_AUTO_TEST_CASE(CoordinatorCutFromTheStoreConfirmsNoCopies) {
   for (const uint32_t standbys : {0U, 2U}) {
     World world(kNodes, {.standbys = standbys});
     Settle(&world);
@@ -150,7 +150,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(AFrozenCoordinatorIsNotReliedOn) {
+BOOST_AUTO_TEST_CASE(FrozenCoordinatorConfirmsNoCopies) {
   // Confirmations count for long, so that only the silence tells.
   World world(kNodes, {.standbys = 0, .freshness = absl::Seconds(2)});
   Settle(&world);
@@ -165,7 +165,7 @@
   BOOST_TEST(world.RunUntil(holds, kBound, World::kCoordinator) < absl::Milliseconds(200));
 }
 
-BOOST_AUTO_TEST_CASE(AStandbyShowsThatTheCoordinatorsWatchWasDropped) {
+BOOST_AUTO_TEST_CASE(StandbyRevealsDroppedWatchOfCoordinator) {
   World world(kNodes, {});
   Settle(&world);
   world.coordinator().watches_dropped = true;
@@ -173,7 +173,7 @@
   BOOST_TEST(world.RunUntil(HoldsNew, kBound) < absl::Seconds(1));
 }
 
-BOOST_AUTO_TEST_CASE(ANodeThatTheStoreTurnsAwayGetsEveryChange) {
+BOOST_AUTO_TEST_CASE(NodeCutFromTheStoreReceivesEveryChange) {
   World world(kNodes, {});
   Settle(&world);
   world.nodes.at(7)->cut = true;
@@ -197,7 +197,7 @@
     coordinator.backends.OnReply(watch->call, StoreAnswer("backends", {row}, version), kStart);
   }
   /// The store has forgotten its history, so the coordinator reads the back ends anew.
-  void ReadAnew(const std::vector<SharedRow>& rows, store::RowVersion version) {
+  void Reread(const std::vector<SharedRow>& rows, store::RowVersion version) {
     store::TableFollower& table = coordinator.backends;
     const auto watch = table.Poll(table.NextWake());
     store::StoreReply gone;
@@ -213,9 +213,9 @@
     from.AddToPush(now, &heartbeat);
     return heartbeat;
   }
-  void Hear(const Heartbeat& heartbeat, Time now = kStart) {
+  void Receive(const Heartbeat& heartbeat, Time now = kStart) {
     to.TakeRows(heartbeat, now);
-    to.OnCoordinatorHeard(heartbeat, now, false, now);
+    to.OnCoordinatorHeartbeat(heartbeat, now, false, now);
   }
 
   Node coordinator;
@@ -224,29 +224,29 @@
   TableRelay to{{.standbys = 0}, 2, &node.configuration, &node.backends};
 };
 
-BOOST_AUTO_TEST_CASE(APushVouchesButDoesNotTellSinceWhen) {
+BOOST_AUTO_TEST_CASE(PushSuspendsWatchButDoesNotAdvanceConfirmation) {
   // A slow coordinator's pushes came a quarter of a second after they were made: taken for the
   // moment of their arrival, requests reached an owner 2.045 s after it had left, 2 s allowed.
   Pair pair;
   const Time later = kStart + absl::Milliseconds(300);
   pair.coordinator.backends.Poll(pair.coordinator.backends.NextWake());
   pair.coordinator.backends.OnStoreAnswered(later);
-  pair.Hear(pair.Push(later), later);
+  pair.Receive(pair.Push(later), later);
   BOOST_TEST(pair.node.backends.Suspended(later));
   BOOST_TEST((pair.node.backends.last_confirmed() == kStart));
   // An answer was made after its report was sent.
-  pair.to.OnCoordinatorHeard(pair.Push(later), later, /*answers=*/true, later);
+  pair.to.OnCoordinatorHeartbeat(pair.Push(later), later, /*answers=*/true, later);
   BOOST_TEST((pair.node.backends.last_confirmed() > kStart));
 }
 
-BOOST_AUTO_TEST_CASE(AMissedPushEndsTheSuspensionOfItsTableOnly) {
+BOOST_AUTO_TEST_CASE(MissedPushEndsSuspensionOfItsTableOnly) {
   Pair pair;
-  pair.Hear(pair.Push());
+  pair.Receive(pair.Push());
   BOOST_TEST(pair.node.backends.Suspended(kStart));
   pair.Change({"i-2", "ready", 70}, 70);
   pair.Push();
   pair.Change({"i-3", "ready", 80}, 80);
-  pair.Hear(pair.Push());
+  pair.Receive(pair.Push());
   BOOST_TEST(!pair.node.backends.Suspended(kStart));
   BOOST_TEST(!pair.node.backends.rows().contains("i-3"));
   BOOST_TEST(pair.node.configuration.Suspended(kStart));
@@ -257,32 +257,32 @@
   Heartbeat answer;
   answer.sender = 1;
   pair.from.AddToAnswer(report, kStart, &answer);
-  pair.Hear(answer);
+  pair.Receive(answer);
   BOOST_TEST(pair.node.backends.rows().size() == 3);
   BOOST_TEST(pair.node.backends.Suspended(kStart));
 }
 
-BOOST_AUTO_TEST_CASE(AnOldConfirmationEndsTheSuspension) {
+BOOST_AUTO_TEST_CASE(OldConfirmationEndsSuspension) {
   Pair pair;
   const Time early = kStart + absl::Milliseconds(1300);
-  pair.Hear(pair.Push(early), early);
+  pair.Receive(pair.Push(early), early);
   BOOST_TEST(pair.node.backends.Suspended(early + absl::Milliseconds(199)));
   BOOST_TEST(!pair.node.backends.Suspended(early + absl::Milliseconds(200)));
   const Time late = kStart + absl::Milliseconds(1500);
   pair.node.backends.Suspend(late + absl::Seconds(1), kStart);
-  pair.Hear(pair.Push(late), late);
+  pair.Receive(pair.Push(late), late);
   BOOST_TEST(!pair.node.backends.Suspended(late));
 }
 
-BOOST_AUTO_TEST_CASE(AnAnswerVouchesFromTheReportsSend) {
+BOOST_AUTO_TEST_CASE(AnswerConfirmsFromSendTimeOfReport) {
   Pair pair;
   const Heartbeat heartbeat = pair.Push();
-  pair.to.OnCoordinatorHeard(heartbeat, kStart - absl::Milliseconds(400), true, kStart);
+  pair.to.OnCoordinatorHeartbeat(heartbeat, kStart - absl::Milliseconds(400), true, kStart);
   BOOST_TEST(pair.node.backends.Suspended(kStart + absl::Milliseconds(299)));
   BOOST_TEST(!pair.node.backends.Suspended(kStart + absl::Milliseconds(300)));
 }
 
-BOOST_AUTO_TEST_CASE(ASlowAnswerVouchesForLess) {
+BOOST_AUTO_TEST_CASE(SlowAnswerConfirmsForLess) {
   Pair pair;
   Membership& membership = pair.node.membership;
   membership.OnHolderKnown(MakeLease(3, 1), kStart);
@@ -296,10 +296,10 @@
   BOOST_TEST(!pair.node.backends.Suspended(kStart + absl::Milliseconds(700)));
 }
 
-BOOST_AUTO_TEST_CASE(ANewCoordinatorWatchesAtOnce) {
+BOOST_AUTO_TEST_CASE(NewCoordinatorWatchesImmediately) {
   Pair pair;
   Node& node = pair.node;
-  pair.Hear(pair.Push());
+  pair.Receive(pair.Push());
   BOOST_TEST(!node.backends.Poll(kStart).has_value());
   node.membership.OnLeaseHeld(MakeLease(4, 2), kStart + absl::Seconds(2), kStart);
   const auto watch = node.backends.Poll(kStart);
@@ -309,7 +309,7 @@
   BOOST_TEST((node.backends.settings().watch_wait == absl::Seconds(20)));
 }
 
-BOOST_AUTO_TEST_CASE(SignsOfLifeVouchAsWell) {
+BOOST_AUTO_TEST_CASE(KeepAlivesConfirmCopies) {
   Pair pair;
   Membership& membership = pair.coordinator.membership;
   membership.OnLeaseHeld(MakeLease(3, 1), kStart + absl::Minutes(1), kStart);
@@ -328,7 +328,7 @@
 
 /// While the list of members was short, at the start of 295 nodes, all took themselves for
 /// standbys: 3,768 watches in five seconds.
-BOOST_AUTO_TEST_CASE(OnlyThoseThatTheCoordinatorNamesAreStandbys) {
+BOOST_AUTO_TEST_CASE(OnlyNodesNamedByCoordinatorAreStandbys) {
   Pair pair;
   Heartbeat heartbeat = pair.Push();
   std::vector<uint64_t> others;
@@ -342,7 +342,7 @@
     Node node(number);
     node.LoadTables({{"config", "r12", 40}}, {{"i-1", "ready", 50}}, 60, kStart);
     TableRelay relay({}, number, &node.configuration, &node.backends);
-    relay.OnCoordinatorHeard(heartbeat, kStart, false, kStart);
+    relay.OnCoordinatorHeartbeat(heartbeat, kStart, false, kStart);
     standbys += node.backends.Suspended(kStart) ? 0 : 1;
   }
   BOOST_TEST(standbys == 2);
@@ -352,24 +352,24 @@
 
 /// The store forgets its history: the coordinator reads the table anew and tells what went, by what
 /// its own copy held. Before, all 295 nodes read it too: 2,000 calls in two seconds.
-BOOST_AUTO_TEST_CASE(ATableThatTheCoordinatorReadAnewNeedsNobodyElsesWatch) {
+BOOST_AUTO_TEST_CASE(RereadByCoordinatorKeepsOtherNodesSuspended) {
   Pair pair;
   pair.Change({"i-2", "ready", 70}, 70);
-  pair.Hear(pair.Push());
-  pair.ReadAnew({{"i-2", "draining", 85}}, 90);
-  pair.Hear(pair.Push());
+  pair.Receive(pair.Push());
+  pair.Reread({{"i-2", "draining", 85}}, 90);
+  pair.Receive(pair.Push());
   BOOST_TEST(pair.node.backends.Suspended(kStart));
   BOOST_TEST(!pair.node.backends.rows().contains("i-1"));
   BOOST_TEST(pair.node.backends.rows().at("i-2").value == "draining");
 }
 
 /// Nothing could be told from a version within the gap, and a node that tried ended by itself.
-BOOST_AUTO_TEST_CASE(WhatFollowsAReadingAnewIsToldFromItsEndOn) {
+BOOST_AUTO_TEST_CASE(ChangesAfterRereadAreSentFromItsEnd) {
   Pair pair;
-  pair.ReadAnew({{"i-1", "ready", 50}, {"i-2", "ready", 85}}, 90);
-  pair.Hear(pair.Push());
+  pair.Reread({{"i-1", "ready", 50}, {"i-2", "ready", 85}}, 90);
+  pair.Receive(pair.Push());
   BOOST_TEST(pair.node.backends.rows().contains("i-2"));
-  pair.Hear(pair.Push());
+  pair.Receive(pair.Push());
   BOOST_TEST(pair.node.backends.Suspended(kStart));
   Report report;
   report.configuration_version = 40;
@@ -381,15 +381,15 @@
 }
 
 /// It heard of a row that both came and went while the coordinator did not watch.
-BOOST_AUTO_TEST_CASE(ACopyFromWithinTheGapIsNotVouchedFor) {
+BOOST_AUTO_TEST_CASE(CopyInsideTheGapIsNotConfirmed) {
   Pair pair;
-  pair.Hear(pair.Push());
-  pair.ReadAnew({{"i-1", "ready", 50}}, 90);
+  pair.Receive(pair.Push());
+  pair.Reread({{"i-1", "ready", 50}}, 90);
   pair.node.backends.Resume();
   const auto own = pair.node.backends.Poll(pair.node.backends.NextWake());
   pair.node.backends.OnReply(own->call, StoreAnswer("backends", {{"i-3", "ready", 75}}, 75),
                              kStart);
-  pair.Hear(pair.Push());
+  pair.Receive(pair.Push());
   BOOST_TEST(pair.node.backends.rows().contains("i-3"));
   BOOST_TEST(!pair.node.backends.Suspended(kStart));
 }
--- a/tests/unit/node/load_exchange_test.cc
+++ b/tests/unit/node/load_exchange_test.cc
@@ -24,7 +24,7 @@
   BOOST_TEST(reports.front().service == "keyed");
   BOOST_TEST(reports.front().busy_us.front() == 90'000);
   BOOST_TEST(reports.front().declined_by.front() == "backend-2");
-  BOOST_TEST(reports.front().rest_ms.front() == 3000);
+  BOOST_TEST(reports.front().backoff_ms.front() == 3000);
   BOOST_TEST(ToReports(loads, nullptr).empty());
 }
 
