--- a/tests/unit/gateway_settings/node_settings_test.cc
+++ b/tests/unit/gateway_settings/node_settings_test.cc
@@ -95,7 +95,7 @@
   BOOST_TEST((shown.ownership.partition_interval == defaults.ownership.partition_interval));
   BOOST_TEST((shown.ownership.challenge_delay == defaults.ownership.challenge_delay));
   BOOST_TEST(shown.limits.link_mbps == defaults.limits.link_mbps);
-  BOOST_TEST((shown.membership.silence == defaults.membership.silence));
+  BOOST_TEST((shown.membership.coordinator_timeout == defaults.membership.coordinator_timeout));
   BOOST_TEST((shown.membership.confirmation == defaults.membership.confirmation));
   BOOST_TEST((shown.membership.member_lifetime == defaults.membership.member_lifetime));
   BOOST_TEST((shown.forwarding.lapse_grace == defaults.forwarding.lapse_grace));
