--- a/src/core/membership/limit_exchange.h
+++ b/src/core/membership/limit_exchange.h
@@ -1,8 +1,9 @@
-// What nodes tell each other of back ends that name limits (allowance::ToldLimits).
+// Exchange between nodes of the rate limits that back ends announce (allowance::ToldLimits).
 //
-// Who hears a change reports it to the coordinator at once, which pushes it to all; without a
-// coordinator, whoever is asked for one tells what it knows with its answer. Changes are told for
-// ToldLimits::kTellFor, so that calm costs nothing. Pure and of one thread.
+// A node that receives a change from a back end reports it to the coordinator at once, which pushes
+// it to all nodes. Without a coordinator, a node that is asked for one includes what it knows in
+// its answer. Changes are published for ToldLimits::kTellFor, so that nothing is sent while no
+// limit changes. Deterministic and not thread-safe.
 #pragma once
 
 #include <vector>
@@ -15,7 +16,7 @@
 
 class LimitExchange {
  public:
-  /// What changed lately: heard by this node itself, and by anybody.
+  /// Sets the recently changed limits: `own` received by this node itself, `all` by any node.
   void Set(std::vector<allowance::LimitRecord> own, std::vector<allowance::LimitRecord> all,
            Time now);
 
--- a/src/core/membership/load_sampling.cc
+++ b/src/core/membership/load_sampling.cc
@@ -8,7 +8,7 @@
 namespace ladderstream::membership {
 namespace {
 
-/// Systematic sampling: points at equal distances along the counts laid end to end.
+/// Systematic sampling: draws points at equal distances along the cumulative counts.
 void SampleKeys(size_t max_count, double draw, LoadReport* load) {
   const double total = std::accumulate(load->counts.begin(), load->counts.end(), 0.0);
   const double step = total / static_cast<double>(max_count);
--- a/src/core/membership/load_sampling.h
+++ b/src/core/membership/load_sampling.h
@@ -1,4 +1,4 @@
-// Keeps reports short where many nodes send them: a sample of the counts instead of all of them.
+// Bounds the size of load reports where many nodes send them, by sampling the counts.
 #pragma once
 
 #include <cstddef>
@@ -7,9 +7,9 @@
 
 namespace ladderstream::membership {
 
-/// Leaves at most `most` keys and `most` back ends in `load`. Keys are drawn in proportion to their
-/// counts, which add up to the same sum as before; so a key that has much of the load stays.
-/// `draw`, in [0, 1), decides which.
+/// Reduces `load` to at most `max_count` keys and `max_count` back ends. Keys are drawn in
+/// proportion to their counts and the sum of the counts is preserved, so a key with a large share
+/// of the load is kept. `draw`, a random number in [0, 1), selects the sample.
 void SampleLoad(size_t max_count, double draw, LoadReport* load);
 
 }  // namespace ladderstream::membership
--- a/src/core/membership/map_exchange.cc
+++ b/src/core/membership/map_exchange.cc
@@ -7,7 +7,7 @@
 namespace ladderstream::membership {
 namespace {
 
-/// Nodes that hold one of this many newest maps are sent changes only.
+/// Number of newest maps kept; a node that holds one of them is sent changes only.
 constexpr size_t kMapsRemembered = 32;
 
 }  // namespace
--- a/src/core/membership/map_exchange.h
+++ b/src/core/membership/map_exchange.h
@@ -1,4 +1,4 @@
-// The ownership map as heartbeats carry it: whole, or as what changed since a version that the
+// Transfer of the ownership map in heartbeats: in full, or as the changes since a version that the
 // receiver holds.
 #pragma once
 
@@ -14,26 +14,26 @@
  public:
   MapExchange();
 
-  /// The newest map seen; null before any is known.
+  /// The newest map seen; null until one is known.
   const std::shared_ptr<const ownership::OwnershipMap>& map() const { return map_; }
   ownership::MapVersion version() const;
 
-  /// True when `map` is newer than the one held, and held from now on.
+  /// Replaces the held map when `map` is newer. Returns whether it did.
   bool Take(std::shared_ptr<const ownership::OwnershipMap> map);
-  /// Takes what `heartbeat` says of the map. True when a newer one is held.
+  /// Adopts the map or the map changes in `heartbeat`. Returns whether the held map became newer.
   bool TakeFrom(Heartbeat& heartbeat);
 
-  /// Puts into `heartbeat` what a node that holds `version` lacks of the map.
+  /// Adds to `heartbeat` what a node that holds `version` lacks of the map.
   void AddTo(const ownership::MapVersion& version, Heartbeat* heartbeat) const;
-  /// Whether a node that holds `version` can only be sent the whole map.
+  /// Whether a node that holds `version` can only be brought up to date with the full map.
   bool NeedsFull(const ownership::MapVersion& version) const;
-  /// Puts into `heartbeat`, which goes to all nodes, what changed since this was last called.
+  /// Adds to `heartbeat`, which goes to all nodes, the changes since the previous call.
   void AddToPush(Heartbeat* heartbeat);
 
  private:
   std::shared_ptr<const ownership::OwnershipMap> map_;
   ownership::MapHistory history_;
-  /// What the last push brought all nodes to.
+  /// The version that the last push brought all nodes to.
   ownership::MapVersion pushed_;
 };
 
--- a/src/core/membership/member_table.cc
+++ b/src/core/membership/member_table.cc
@@ -6,13 +6,13 @@
 namespace ladderstream::membership {
 namespace {
 
-/// Versions of lists within one epoch; more than one a microsecond for an hour.
+/// List versions within one epoch: enough for more than one per microsecond for an hour.
 constexpr unsigned kVersionBitsPerEpoch = 32;
 
-/// Reports that may be missing before a member leaves, when they come rarely.
+/// Report intervals without a report before a member is removed, where reports are infrequent.
 constexpr double kReportsPerLifetime = 3.5;
 
-/// Nodes that hold one of this many newest lists are sent changes only.
+/// Number of newest changes kept; a node whose list they reach back to is sent changes only.
 constexpr size_t kChangesRemembered = 64;
 
 }  // namespace
@@ -67,7 +67,7 @@
   if (changes.base != version_) {
     return false;
   }
-  // From the list itself: others may have reported to this node besides.
+  // Based on the published list: others_ may also hold nodes that reported only to this node.
   std::vector<PeerIdentity> members = published_;
   std::erase_if(members, [&changes](const PeerIdentity& member) {
     return std::find(changes.left.begin(), changes.left.end(), member.incarnation) !=
@@ -110,7 +110,7 @@
   const auto first =
       std::find_if(history_.begin(), history_.end(),
                    [version](const Change& change) { return change.changes.base == version; });
-  // Version 0 is what each node starts with: lists of that version differ.
+  // Every node starts with version 0, so lists of that version differ between nodes.
   if (version == 0 || first == history_.end()) {
     return std::nullopt;
   }
--- a/src/core/membership/member_table.h
+++ b/src/core/membership/member_table.h
@@ -1,5 +1,5 @@
-// The nodes that take part, as one node knows them: kept by the coordinator from reports, and by
-// the others from its heartbeats.
+// The list of member nodes as one node knows it. The coordinator maintains it from reports; the
+// other nodes adopt it from the coordinator's heartbeats.
 #pragma once
 
 #include <cstdint>
@@ -14,50 +14,52 @@
 
 namespace ladderstream::membership {
 
-/// Where to send: on `connection` while it is open, else to `address`.
+/// Where to send a message: on `connection` while it is open, else to `address`.
 struct Destination {
   /// Port 0 when unknown.
   Endpoint address;
   /// A connection of the transport; 0 for none.
   uint64_t connection = 0;
-  /// Only for counting what leaves the zone.
+  /// Used only to count the traffic that leaves the zone.
   ZoneScope zone = ZoneScope::kUnknown;
   bool operator==(const Destination&) const = default;
 };
 
 class MemberTable {
  public:
-  /// A member that did not report for `lifetime` leaves. A changed list is published at most once
-  /// per `publish_interval_per_member` for each member.
+  /// A member that has not reported for `lifetime` is removed. The interval between publications of
+  /// a changed list is at least `publish_interval_per_member` times the number of members.
   MemberTable(PeerIdentity self, Duration lifetime, Duration publish_interval_per_member);
 
-  /// A member reported, on this connection of the transport. Another run at the same address has
-  /// ended. Gives its whole identity; nothing when it is not known and not told.
+  /// Records a report of `member` on a connection of the transport. An earlier process at the same
+  /// address is removed. Returns the full identity, or nothing when the report carries only an
+  /// incarnation that is not known.
   std::optional<PeerIdentity> OnReport(const PeerIdentity& member, uint64_t connection, Time now);
-  /// Takes over the list of the coordinator, or what changed in it, unless a newer one is known.
-  /// True when it changed.
+  /// Adopts the coordinator's list, or the changes to it, unless the held list is as new or newer.
+  /// Returns whether the list was adopted.
   bool Adopt(const Heartbeat& heartbeat, Time now);
-  /// Puts into `heartbeat` what a node that holds the list of `version` lacks.
+  /// Adds to `heartbeat` what a node that holds the list of `version` lacks.
   void AddTo(uint64_t version, Heartbeat* heartbeat) const;
-  /// Whether a node that holds the list of `version` can only be sent the whole one.
+  /// Whether a node that holds the list of `version` can only be sent the full list.
   bool NeedsFull(uint64_t version) const {
     return version < version_ && !ChangesSince(version).has_value();
   }
-  /// This node became the coordinator: members get a whole lifetime to report to it, and the list's
-  /// versions go on above those of earlier epochs.
+  /// Records that this node became the coordinator. Members get a full lifetime to report to it,
+  /// and list versions continue above those of earlier epochs.
   void TakeOver(uint64_t epoch, Time now);
-  /// Lets silent members go and publishes the list when it is due. True when it changed.
+  /// Removes members that stopped reporting and publishes the list when due. Returns whether a
+  /// changed list was published.
   bool Refresh(Time now, Duration report_interval);
 
   /// The published list, this node included.
   const std::vector<PeerIdentity>& members() const { return published_; }
   uint64_t version() const { return version_; }
-  /// All known members but this node.
+  /// All known members except this node.
   std::vector<Destination> Others() const;
   std::vector<uint64_t> OtherIncarnations() const;
-  /// Where `member` is, seen from this node.
+  /// Returns the zone scope of `member` relative to this node.
   ZoneScope ScopeOf(const PeerIdentity& member) const;
-  /// The node at `address`, a member or not.
+  /// Returns the destination for the node at `address`, which need not be a member.
   Destination At(const Endpoint& address) const;
 
  private:
@@ -67,29 +69,29 @@
     Time last_report;
   };
 
-  /// What one version changed in the one before it.
+  /// The changes from the previous version to `version`.
   struct Change {
     uint64_t version = 0;
     MemberChanges changes;
   };
 
   void Publish();
-  /// Publishes the list as that of `version` and remembers what changed.
+  /// Publishes the list as `version` and records the changes in the history.
   void PublishChange(uint64_t version);
-  /// Empty when not every change since `version` is remembered.
+  /// Returns nothing when the history does not reach back to `version`.
   std::optional<MemberChanges> ChangesSince(uint64_t version) const;
-  /// Unless `changes` do not lead on from the list held.
+  /// Returns false when `changes` are not based on the held list.
   bool Apply(const MemberChanges& changes, Time now);
   bool Replace(const std::vector<PeerIdentity>& members, Time now);
 
   PeerIdentity self_;
   Duration lifetime_;
   Duration publish_interval_per_member_;
-  /// By incarnation; never this node.
+  /// By incarnation, without this node.
   std::map<uint64_t, Member> others_;
   std::vector<PeerIdentity> published_;
   uint64_t version_ = 0;
-  /// The newest changes, each based on the one before it.
+  /// The newest changes, each based on the previous one.
   std::deque<Change> history_;
   bool changed_ = false;
   Time last_publish_ = absl::InfinitePast();
--- a/src/core/membership/membership.cc
+++ b/src/core/membership/membership.cc
@@ -10,18 +10,18 @@
 namespace ladderstream::membership {
 namespace {
 
-/// How often the coordinator looks for silent members.
+/// How often the coordinator checks for members that stopped reporting.
 constexpr Duration kRefreshInterval = absl::Milliseconds(500);
 
-/// At least so long after a report before a lost connection, or news, brings the next one.
+/// Minimum pause after a report before a lost connection or an update triggers the next one.
 constexpr Duration kShortestReportPause = absl::Milliseconds(50);
 
-/// Reports of many nodes must not fall into step: their interval varies by this share, downwards.
+/// Report intervals are shortened by up to this share, so that nodes do not report in step.
 constexpr double kReportJitter = 0.1;
 constexpr uint64_t kJitterSteps = 1024;
 
-/// Where nodes report more rarely than this many shortest intervals, the coordinator shows them in
-/// between that it is alive.
+/// In multiples of the shortest report interval. Where nodes report less often, the coordinator
+/// sends keep-alive heartbeats in between.
 constexpr double kLongestHeartbeatGap = 1.5;
 
 }  // namespace
@@ -67,7 +67,7 @@
   const bool leads = IsCoordinator(now);
   const bool needs_full =
       members_.NeedsFull(report.members_version) || (leads && maps_.NeedsFull(report.map_version));
-  // Who does not coordinate has a list for whoever comes; that costs it no lease.
+  // A node that does not coordinate always includes its list: it has no lease to lose by the cost.
   if (leads && needs_full && !full_copies_.Grant(back, now)) {
     return;
   }
@@ -98,7 +98,7 @@
   snapshots_.OnVersionsReceived(from, {heartbeat.configuration_version, heartbeat.backends_version},
                                 now);
   if (report.has_value() && report->holder != 0 && report->holder != heartbeat.sender) {
-    // Another process answers at the coordinator's address: the coordinator's has ended.
+    // Another process answers at the coordinator's address, so the coordinator's has ended.
     actions_.emplace_back(CoordinatorEndedAction{report->holder});
   }
   const bool own_lease = heartbeat.lease.incarnation == self_.incarnation;
@@ -164,7 +164,7 @@
 void Membership::OnConnectionLost(const Endpoint& address, Time now) {
   const bool of_holder = holder_.has_value() && holder_->peer_address == address;
   if (of_holder) {
-    // A report at once shows whether anybody still listens there.
+    // An immediate report shows whether a process still listens there.
     ReportSoon(now);
   }
 }
@@ -180,7 +180,7 @@
   if (!holder_.has_value() || lease.epoch > holder_->epoch) {
     holder_ = lease;
     suspects_.OnNewHolder(now);
-    // All nodes learn it at much the same time; their first reports are spread a little.
+    // All nodes learn of the new holder at about the same time; spread their first reports.
     next_report_ = now + ReportSpread() * RandomShare();
     if (lease.incarnation != self_.incarnation) {
       EndLeading();
@@ -201,14 +201,14 @@
   }
   lease_until_ = until;
   actions_.emplace_back(MembersConfirmedAction{until - settings_.members_lease_reserve});
-  // As long as the nodes that it confirms the map to last.
+  // The same limit as on nodes whose map it confirms at the end of its lease.
   SetConfirmed(until + settings_.confirmation - settings_.confirmation_margin);
   if (took_over) {
     relay_.OnLeading(true);
-    // The predecessor brought the others to this list.
+    // The predecessor brought the other nodes to this list.
     pushed_members_ = members_.version();
     members_.TakeOver(lease.epoch, now);
-    // A node that is alone has no other cause to tell of its list, which is now the one in force.
+    // A single node has no other occasion to publish its list, which is now the authoritative one.
     actions_.emplace_back(MembersChangedAction{static_cast<uint32_t>(members().size())});
     next_refresh_ = now + kRefreshInterval;
     next_keep_alive_ = now + LongestHeartbeatGap();
@@ -252,10 +252,10 @@
 void Membership::ConfirmBy(const Heartbeat& heartbeat, const std::optional<SentReport>& report,
                            Time now) {
   if (maps_.version() < heartbeat.map_version) {
-    // A newer map exists that did not come along. The held one is confirmed no longer than it was,
-    // and may be used until then: whoever lets a silent owner's keys move waits for that
-    // (WaitOutEnd), and any other owner answers that it does not hold the key.
-    // A lost push is lost to many nodes alike: their reports are spread a little.
+    // A newer map exists but is not in this heartbeat. The confirmation of the held map is not
+    // extended, and the map may be used until it ends: a coordinator that moves the keys of an
+    // unresponsive owner waits for that (WaitOutEnd), and any other owner answers that it does not
+    // hold the key. A lost push usually affects many nodes at once, so their reports are spread.
     next_report_ = std::min(next_report_, now + ReportSpread() * RandomShare());
     return;
   }
@@ -266,11 +266,12 @@
   if (!pushed && !report.has_value()) {
     return;
   }
-  // An answer was made after its report was sent, however long it was on the way.
+  // An answer was created after its report was sent, however long it took to arrive.
   const Time made = pushed ? now : report->sent;
   const Duration span = pushed ? settings_.pushed_confirmation : settings_.confirmation;
-  // This may reach beyond the end of the sender's lease: a successor lets a silent owner's keys
-  // move only when no map that was confirmed before that end is in use any more (WaitOutEnd).
+  // This may extend beyond the end of the sender's lease: a successor moves the keys of an
+  // unresponsive owner only when no map that was confirmed before that end is still in use
+  // (WaitOutEnd).
   const Time until = made + span - settings_.confirmation_margin;
   if (until > confirmed_until_) {
     SetConfirmed(until);
@@ -287,7 +288,7 @@
 
 void Membership::ConfirmMembersBy(const Heartbeat& heartbeat,
                                   const std::optional<SentReport>& report) {
-  // When a push was made is not known.
+  // A push confirms nothing because its creation time is not known.
   const Duration lease_left = absl::Milliseconds(heartbeat.lease_left_ms);
   if (report.has_value() && heartbeat.members_version == members_.version() &&
       lease_left > settings_.members_lease_reserve) {
@@ -429,7 +430,8 @@
     return;
   }
   if (push_wanted_) {
-    // A bare heartbeat would tell all nodes of a map without which they cannot confirm theirs.
+    // A heartbeat without the new map would name its version to all nodes, which then could not
+    // confirm the map they hold.
     PushHeartbeat(now);
   } else {
     Heartbeat heartbeat = NewHeartbeat(now);
--- a/src/core/membership/membership_news.cc
+++ b/src/core/membership/membership_news.cc
@@ -1,4 +1,4 @@
-// What nodes tell each other of back ends beside registrations: suspects, limits and permits.
+// Exchange between nodes of back-end state other than registrations: suspects, limits and permits.
 #include <algorithm>
 #include <utility>
 #include <vector>
--- a/src/core/membership/message_codec.cc
+++ b/src/core/membership/message_codec.cc
@@ -14,16 +14,16 @@
 namespace ladderstream::membership {
 namespace {
 
-/// No list of a sound message is longer: one entry for each key.
+/// Limit of the length of a list: one entry for each key.
 constexpr size_t kMaxElements = ownership::kLastKey + 1;
 constexpr size_t kMaxTextBytes = size_t{1} << 20;
 constexpr size_t kMaxDepth = 16;
 /// The configuration and the back ends.
 constexpr size_t kTablesRelayed = 2;
-/// Values in one message, in all its lists together; each takes some 24 bytes once parsed.
+/// Limit of values in all lists of a message together; each takes some 24 bytes once parsed.
 constexpr size_t kMaxValues = 500'000;
 
-/// Counts the values of a message without keeping any, and stops when there are too many.
+/// Counts the values of a message without storing them and stops beyond the limit.
 class ValueCounter : public msgpack::null_visitor {
  public:
   bool start_array(uint32_t count) { return Add(count); }
@@ -43,59 +43,70 @@
   bool malformed_ = false;
 };
 
-void Require(bool condition, std::string_view what) {
+/// Throws an error whose text is made of `parts` unless `condition` holds.
+template <typename... Parts>
+void Require(bool condition, const Parts&... parts) {
   if (!condition) {
-    throw Error(ResultCode::kMalformedMessage, std::string(what));
+    throw Error(ResultCode::kMalformedMessage, absl::StrCat(parts...));
   }
 }
 
 void Check(const LoadReport& load) {
-  Require(load.keys.size() == load.counts.size(), "loads: keys and counts differ in number");
+  Require(load.keys.size() == load.counts.size(), "loads: ", load.keys.size(), " keys with ",
+          load.counts.size(), " counts");
   const size_t backends = load.backends.size();
   Require(backends == load.answers.size() && backends == load.busy_us.size() &&
               backends == load.includes_wait.size(),
-          "loads: back ends and their figures differ in number");
-  Require(load.declined_by.size() == load.backoff_ms.size(),
-          "loads: back ends that declined and their rests differ in number");
+          "loads: ", backends, " back ends with ", load.answers.size(), " answers, ",
+          load.busy_us.size(), " busy times and ", load.includes_wait.size(), " wait flags");
+  Require(load.declined_by.size() == load.backoff_ms.size(), "loads: ", load.declined_by.size(),
+          " declining back ends with ", load.backoff_ms.size(), " back-off times");
   Require(load.reported_share > 0 && load.reported_share <= 1,
-          "loads: the reported share is not between 0 and 1");
+          "loads: reported share must be above 0 and at most 1, got ", load.reported_share);
   for (const uint32_t key : load.keys) {
-    Require(key <= ownership::kLastKey, "loads: a key beyond the last one");
+    Require(key <= ownership::kLastKey, "loads: key ", key, " exceeds the last key ",
+            ownership::kLastKey);
   }
   for (const uint32_t key : load.denied_keys) {
-    Require(key <= ownership::kLastKey, "loads: a denied key beyond the last one");
+    Require(key <= ownership::kLastKey, "loads: denied key ", key, " exceeds the last key ",
+            ownership::kLastKey);
   }
   for (const float count : load.counts) {
-    Require(std::isfinite(count) && count >= 0, "loads: a count that is no number of requests");
+    Require(std::isfinite(count) && count >= 0,
+            "loads: request count must be finite and not negative, got ", count);
   }
 }
 
 void Check(const ownership::KeyRange& range) {
-  Require(range.first <= range.last && range.last <= ownership::kLastKey,
-          "map: a range outside of the key space");
+  Require(range.first <= range.last && range.last <= ownership::kLastKey, "map: invalid key range ",
+          range.first, "-", range.last, ", the last key is ", ownership::kLastKey);
 }
 
 void Check(const ownership::ServiceOwnership& service) {
   ownership::Key next = 0;
   for (const ownership::Assignment& assignment : service.assignments) {
     Check(assignment.range);
-    Require(assignment.range.first == next, "map: a gap or an overlap between assignments");
+    Require(assignment.range.first == next, "map: expected an assignment from key ", next,
+            ", found one from ", assignment.range.first);
     next = assignment.range.last + 1;
   }
   Require(service.assignments.empty() || next == ownership::kLastKey + 1,
-          "map: assignments that end before the last key");
+          "map: assignments end before key ", next, ", expected up to ", ownership::kLastKey);
   for (const ownership::KeyRange& range : service.moving) {
     Check(range);
   }
 }
 
 void Check(const ownership::MapChanges& changes) {
-  Require(changes.base < changes.version, "map changes: they lead back");
+  Require(changes.base < changes.version, "map changes: version ", changes.version.epoch, "/",
+          changes.version.sequence, " is not above base ", changes.base.epoch, "/",
+          changes.base.sequence);
   for (const auto& [name, service] : changes.services) {
     ownership::Key next = 0;
     for (const ownership::Assignment& assignment : service.assignments) {
       Check(assignment.range);
-      Require(assignment.range.first >= next, "map changes: ranges out of order, or twice");
+      Require(assignment.range.first >= next, "map changes: expected a range from key ", next,
+              " or later, found one from ", assignment.range.first);
       next = assignment.range.last + 1;
     }
     for (const ownership::KeyRange& range : service.moving) {
@@ -105,37 +116,47 @@
 }
 
 void Check(const TableUpdate& update) {
-  Require(update.base <= update.version, "tables: changes that lead back");
-  Require(update.newest_change <= update.version, "tables: a change after the version");
-  Require(update.gap_first <= update.gap_last, "tables: a gap that ends before it begins");
+  Require(update.base <= update.version, "tables: base ", update.base, " exceeds version ",
+          update.version);
+  Require(update.newest_change <= update.version, "tables: newest change ", update.newest_change,
+          " exceeds version ", update.version);
+  Require(update.gap_first <= update.gap_last, "tables: gap starts at ", update.gap_first,
+          " and ends at ", update.gap_last);
   for (const SharedRow& row : update.rows) {
-    Require(row.version > update.base, "tables: a row that did not change");
+    Require(row.version > update.base, "tables: row version ", row.version, " is not above base ",
+            update.base);
   }
   for (const RemovedRow& row : update.removals) {
-    Require(row.version > update.base, "tables: a removal before the base");
+    Require(row.version > update.base, "tables: removal version ", row.version,
+            " is not above base ", update.base);
   }
 }
 
 void Check(const std::vector<SharedSuspect>& suspects) {
-  Require(suspects.size() <= quarantine::CrashSuspects::kMostShared, "suspects: too many");
+  Require(suspects.size() <= quarantine::CrashSuspects::kMostShared, "suspects: ", suspects.size(),
+          " records, the limit is ", size_t{quarantine::CrashSuspects::kMostShared});
   for (const SharedSuspect& suspect : suspects) {
     Require(suspect.backends.size() == suspect.ages_ms.size(),
-            "suspects: back ends and their ages differ in number");
-    Require(suspect.backends.size() <= quarantine::kMostCrashes, "suspects: too many back ends");
+            "suspects: ", suspect.backends.size(), " back ends with ", suspect.ages_ms.size(),
+            " ages");
+    Require(suspect.backends.size() <= quarantine::kMostCrashes,
+            "suspects: ", suspect.backends.size(), " back ends, the limit is ",
+            size_t{quarantine::kMostCrashes});
   }
 }
 
 bool IsRate(double rate) { return std::isfinite(rate); }
 
 void Check(const std::vector<SharedLimit>& limits) {
-  Require(limits.size() <= allowance::ToldLimits::kMostShared, "limits: too many");
+  Require(limits.size() <= allowance::ToldLimits::kMostShared, "limits: ", limits.size(),
+          " records, the limit is ", size_t{allowance::ToldLimits::kMostShared});
   for (const SharedLimit& limit : limits) {
-    Require(IsRate(limit.rate), "limits: a rate that is no number");
+    Require(IsRate(limit.rate), "limits: rate must be finite, got ", limit.rate);
   }
 }
 
 void Check(const Report& report) {
-  Require(report.sender.incarnation != 0, "report: no sender");
+  Require(report.sender.incarnation != 0, "report: sender has no incarnation");
   Check(report.suspects);
   Check(report.limits);
   for (const LoadReport& load : report.loads) {
@@ -146,58 +167,70 @@
 void Check(const Heartbeat& heartbeat) {
   Check(heartbeat.suspects);
   Check(heartbeat.limits);
-  Require(heartbeat.map.size() <= 1, "heartbeat: more than one map");
+  Require(heartbeat.map.size() <= 1, "heartbeat: ", heartbeat.map.size(),
+          " maps, at most one is expected");
   for (const ownership::OwnershipMap& map : heartbeat.map) {
-    Require(map.version == heartbeat.map_version, "heartbeat: a map of another version");
+    Require(map.version == heartbeat.map_version, "heartbeat: map of version ", map.version.epoch,
+            "/", map.version.sequence, ", expected ", heartbeat.map_version.epoch, "/",
+            heartbeat.map_version.sequence);
     for (const auto& [name, service] : map.services) {
       Check(service);
     }
   }
-  Require(heartbeat.map_changes.size() <= 1, "heartbeat: more than one set of map changes");
+  Require(heartbeat.map_changes.size() <= 1, "heartbeat: ", heartbeat.map_changes.size(),
+          " sets of map changes, at most one is expected");
   for (const ownership::MapChanges& changes : heartbeat.map_changes) {
-    Require(changes.version == heartbeat.map_version, "heartbeat: changes to another version");
+    Require(changes.version == heartbeat.map_version, "heartbeat: map changes to version ",
+            changes.version.epoch, "/", changes.version.sequence, ", expected ",
+            heartbeat.map_version.epoch, "/", heartbeat.map_version.sequence);
     Check(changes);
   }
   Require(heartbeat.member_changes.empty() ||
               (heartbeat.member_changes.size() == 1 && heartbeat.members.empty()),
-          "heartbeat: more than one list of members");
+          "heartbeat: ", heartbeat.member_changes.size(), " sets of member changes and ",
+          heartbeat.members.size(), " members, expected one of the two at most once");
   Require(heartbeat.tables.empty() || heartbeat.tables.size() == kTablesRelayed,
-          "heartbeat: not each table once");
+          "heartbeat: ", heartbeat.tables.size(), " table updates, expected none or ",
+          kTablesRelayed);
   for (const TableUpdate& update : heartbeat.tables) {
     Check(update);
   }
 }
 
 void Check(const Resignation& resignation) {
-  Require(resignation.incarnation != 0, "resignation: no sender");
+  Require(resignation.incarnation != 0, "resignation: sender has no incarnation");
 }
 
 void Check(const SnapshotRequest& /*request*/) {}
 
 void Check(const Snapshot& snapshot) {
   for (const SharedRow& row : snapshot.configuration) {
-    Require(row.version != 0, "snapshot: a row without version");
+    Require(row.version != 0, "snapshot: row ", row.key, " has no version");
   }
   for (const SharedRow& row : snapshot.backends) {
-    Require(row.version != 0, "snapshot: a row without version");
+    Require(row.version != 0, "snapshot: row ", row.key, " has no version");
   }
 }
 
 void Check(const PermitRequest& request) {
-  Require(request.wanted <= allowance::kMostPermitsAsked, "permit: too many are wanted");
-  Require(IsRate(request.rate) && request.rate >= 0, "permit: a limit that is no rate");
+  Require(request.wanted <= allowance::kMostPermitsAsked, "permit: ", request.wanted,
+          " permits requested, the limit is ", allowance::kMostPermitsAsked);
+  Require(IsRate(request.rate) && request.rate >= 0,
+          "permit: rate limit must be finite and not negative, got ", request.rate);
 }
 
 void Check(const PermitAnswer& answer) {
-  Require(answer.granted <= allowance::kMostPermitsAsked, "permit: too many are granted");
+  Require(answer.granted <= allowance::kMostPermitsAsked, "permit: ", answer.granted,
+          " permits granted, the limit is ", allowance::kMostPermitsAsked);
 }
 
 Message Parse(std::string_view bytes) {
   ValueCounter counter;
   size_t offset = 0;
   const bool complete = msgpack::parse(bytes.data(), bytes.size(), offset, counter);
-  Require(complete && counter.valid(), "message: not whole, or too many values");
-  Require(offset == bytes.size(), "message: bytes behind its end");
+  Require(complete && counter.valid(), "message of ", bytes.size(),
+          " bytes: truncated, malformed or more than ", kMaxValues, " values");
+  Require(offset == bytes.size(), "message: ends after ", offset, " of ", bytes.size(), " bytes");
   const msgpack::unpack_limit limit(kMaxElements, kMaxElements, kMaxTextBytes, kMaxTextBytes, 0,
                                     kMaxDepth);
   const msgpack::object_handle handle =
--- a/src/core/membership/message_codec.h
+++ b/src/core/membership/message_codec.h
@@ -1,4 +1,4 @@
-// Turns messages between nodes into bytes and back.
+// Encodes and decodes messages between nodes.
 #pragma once
 
 #include <string>
@@ -10,9 +10,9 @@
 
 std::string EncodeMessage(const Message& message);
 
-/// Reads a message from exactly `bytes`. Throws Error(kMalformedMessage) for anything that a node
-/// would not have sent: other types, sizes beyond the bounds, lists that do not match, keys and
-/// ranges outside of the key space. Memory stays within a small multiple of `bytes`.
+/// Decodes a message that spans exactly `bytes`. Throws Error(kMalformedMessage) for anything that
+/// a node would not have sent: other types, sizes beyond the limits, mismatched lists, keys and
+/// ranges outside of the key space. Memory use is bounded by a small multiple of the input size.
 Message DecodeMessage(std::string_view bytes);
 
 }  // namespace ladderstream::membership
--- a/src/core/membership/message_kind.h
+++ b/src/core/membership/message_kind.h
@@ -1,5 +1,4 @@
-// What a message between nodes is for, and whether it leaves the zone: by these its bytes are
-// counted.
+// Kind and zone scope of messages between nodes, the labels under which their bytes are counted.
 #pragma once
 
 #include <cstdint>
@@ -9,7 +8,7 @@
 
 namespace ladderstream::membership {
 
-/// A heartbeat counts as the largest thing that it carries.
+/// A heartbeat counts as the largest kind of content that it carries.
 enum class MessageKind : uint8_t {
   kReport,
   kHeartbeat,
@@ -25,13 +24,13 @@
 };
 
 MessageKind KindOf(const Message& message);
-/// Gives a name such as "map_changes".
+/// Returns a name such as "map_changes".
 std::string_view NameOf(MessageKind kind);
 
-/// Where a destination is, seen from this node.
+/// Zone of a destination relative to this node.
 enum class ZoneScope : uint8_t { kUnknown, kOwn, kOther, kCount };
 
-/// Gives "unknown", "own" or "other".
+/// Returns "unknown", "own" or "other".
 std::string_view NameOf(ZoneScope scope);
 
 }  // namespace ladderstream::membership
--- a/src/core/membership/sent_reports.cc
+++ b/src/core/membership/sent_reports.cc
@@ -6,7 +6,7 @@
 namespace ladderstream::membership {
 namespace {
 
-/// Reports that may be without an answer at a time.
+/// Maximum number of unanswered reports that are tracked.
 constexpr size_t kMaxSentReports = 16;
 
 }  // namespace
--- a/src/core/membership/sent_reports.h
+++ b/src/core/membership/sent_reports.h
@@ -1,4 +1,4 @@
-// This node's reports, or its questions for snapshots, that may still be answered.
+// Reports or snapshot requests sent by this node that may still be answered.
 #pragma once
 
 #include <cstdint>
@@ -12,17 +12,17 @@
 struct SentReport {
   uint64_t sequence = 0;
   Time sent;
-  /// The coordinator it went to; 0 when it went to any other node.
+  /// Incarnation of the coordinator it was sent to; 0 when sent to another node.
   uint64_t holder = 0;
 };
 
 class SentReports {
  public:
-  /// Gives the new report's sequence. Too old ones are no longer waited for.
+  /// Records a new report and returns its sequence. The oldest one is dropped beyond the limit.
   uint64_t Add(uint64_t holder, Time now);
-  /// The report that this is the first answer to.
+  /// Removes and returns the report with this sequence; nothing when it was answered or dropped.
   std::optional<SentReport> Take(uint64_t sequence);
-  /// When the last one was sent; in the infinite past before any.
+  /// When the last one was sent; infinite past if none was.
   Time last_sent() const { return last_sent_; }
 
  private:
--- a/src/core/membership/snapshot_exchange.cc
+++ b/src/core/membership/snapshot_exchange.cc
@@ -7,7 +7,7 @@
 namespace ladderstream::membership {
 namespace {
 
-/// Questions to one node about one hint; it may have ended meanwhile.
+/// Maximum requests to one node for one hint; the node may have ended meanwhile.
 constexpr uint32_t kMaxQuestionsPerHint = 3;
 
 std::vector<SharedRow> SharedRows(const store::TableFollower& follower) {
@@ -89,7 +89,8 @@
 }
 
 bool SnapshotExchange::OnSnapshot(const Snapshot& snapshot, Time now) {
-  // Taken as made at its arrival, a late answer would let changes seem younger than they are.
+  // The age counts from the send of the request: counted from the arrival, changes in a late answer
+  // would appear more recent than they are.
   const std::optional<SentReport> question = questions_.Take(snapshot.answered_request);
   const Time confirmed = question.has_value() ? question->sent - absl::Milliseconds(snapshot.age_ms)
                                               : absl::InfinitePast();
--- a/src/core/membership/snapshot_exchange.h
+++ b/src/core/membership/snapshot_exchange.h
@@ -1,4 +1,4 @@
-// Lets nodes give each other what the metadata store told them, for one that the store turns away.
+// Transfer of store tables between nodes, for nodes that the metadata store does not answer.
 #pragma once
 
 #include <cstdint>
@@ -15,16 +15,16 @@
 namespace ladderstream::membership {
 
 struct SnapshotSettings {
-  /// Other nodes are asked when the store has not answered for so long.
+  /// Other nodes are asked when the store has not answered for this long.
   Duration unresponsive_timeout = absl::Milliseconds(300);
-  /// Pause between questions; grows up to the longest while the answers bring nothing new.
+  /// Pause between requests; grows to the longest while the answers contain nothing new.
   Duration shortest_interval = absl::Milliseconds(250);
   Duration longest_interval = absl::Seconds(1);
-  /// After hearing that another node knows a newer change, this long is left to the own watch.
+  /// After another node reported a newer change, the node's own watch has this long to deliver it.
   Duration hint_delay = absl::Milliseconds(150);
 };
 
-/// Names what the copies of a node hold.
+/// Versions of the last changes that the copies of a node hold.
 struct HeldVersions {
   uint64_t configuration = 0;
   uint64_t backends = 0;
@@ -36,27 +36,27 @@
   SnapshotExchange(const SnapshotSettings& settings, store::TableFollower* configuration,
                    store::TableFollower* backends, uint64_t seed);
 
-  /// The last changes that this node's copies hold; 0 for a table never read.
+  /// Returns the versions held by this node; 0 for a table that was never read.
   HeldVersions Held() const;
-  /// A node whose copies hold these versions said so.
+  /// Records that the copies of another node hold these versions.
   void OnVersionsReceived(const Destination& from, const HeldVersions& versions, Time now);
-  /// The answer to another node's question.
+  /// Returns the answer to another node's request.
   Snapshot Answer(const SnapshotRequest& request, Time now) const;
-  /// True when a copy changed.
+  /// Merges another node's rows. Returns whether a copy changed.
   bool OnSnapshot(const Snapshot& snapshot, Time now);
 
   struct Question {
     Destination to;
     SnapshotRequest request;
   };
-  /// The question to send now, if one is due: to the node that knows more, else to one of `others`
-  /// in turn.
+  /// Returns the request to send now, if one is due: to the node that reported newer versions, else
+  /// to one of `others` in turn.
   std::optional<Question> Poll(const std::vector<Destination>& others, Time now);
-  /// When Poll is due next. Infinite when nothing is missing.
+  /// Returns when Poll is due next; infinite future when nothing is missing.
   Time NextWake() const;
 
  private:
-  /// Another node said that it holds something newer.
+  /// Another node reported that it holds newer versions.
   struct Hint {
     Destination from;
     HeldVersions versions;
@@ -65,9 +65,9 @@
   };
 
   bool HintIsOpen() const;
-  /// When the store counts as turning this node away; infinite while it answers.
+  /// Returns when the store counts as unresponsive; infinite future while it answers.
   Time StoreUnresponsiveAt() const;
-  /// The next question, which counts as sent now.
+  /// Returns the next request and records it as sent now.
   SnapshotRequest NewRequest(Time now);
 
   SnapshotSettings settings_;
@@ -78,7 +78,7 @@
   SentReports questions_;
   Time next_question_ = absl::InfinitePast();
   Duration interval_;
-  /// Where the turn among the others stands; starts anywhere so that nodes ask different ones.
+  /// Round-robin position among the others; starts at random so that nodes ask different ones.
   uint64_t turn_;
 };
 
--- a/src/core/membership/suspect_exchange.h
+++ b/src/core/membership/suspect_exchange.h
@@ -1,8 +1,9 @@
-// What nodes tell each other of requests that crash back ends (quarantine::CrashSuspects).
+// Exchange between nodes of requests suspected to crash back ends (quarantine::CrashSuspects).
 //
-// Who learns something reports it to the coordinator at once, which pushes it to all; without a
-// coordinator, whoever is asked for one tells what it knows with its answer. Later only requests
-// that are held are told on, so that calm costs nothing. Pure and of one thread.
+// A node that observes a change reports it to the coordinator at once, which pushes it to all
+// nodes. Without a coordinator, a node that is asked for one includes what it knows in its answer.
+// After the publish period only held requests are sent, so that nothing is sent when there are
+// none. Deterministic and not thread-safe.
 #pragma once
 
 #include <vector>
@@ -15,9 +16,10 @@
 
 class SuspectExchange {
  public:
-  /// What this node knows now. `own`: it learned something by itself; otherwise from another node.
+  /// Sets what this node knows. `own`: the change was observed by this node, not received from
+  /// another.
   void Set(std::vector<quarantine::SuspectRecord> records, bool own, Time now);
-  /// Another node coordinates from now on, and may know nothing.
+  /// Records that the coordinator changed; the new one may not have the records yet.
   void OnNewHolder(Time now) { report_until_ = now + kPublishPeriod; }
 
   std::vector<SharedSuspect> ForReport(Time now) const;
@@ -27,7 +29,7 @@
                                                        Time now);
 
  private:
-  /// News are repeated for so long: two of the longest intervals between reports.
+  /// Changes are repeated for this long: two of the longest report intervals.
   static constexpr Duration kPublishPeriod = absl::Seconds(3);
 
   std::vector<SharedSuspect> Encode(bool all, Time now) const;
--- a/src/core/membership/table_relay.cc
+++ b/src/core/membership/table_relay.cc
@@ -7,11 +7,11 @@
 namespace ladderstream::membership {
 namespace {
 
-/// Watches are sent anew no more often than this for calls without an answer: where the store loses
-/// three answers in ten, two more calls a second.
+/// Minimum time between restarts of the watches after unanswered calls. Where the store loses three
+/// answers in ten, this limits the cost to two more calls per second.
 constexpr Duration kMinWatchRestartInterval = absl::Seconds(1);
 
-/// Spreads incarnations evenly and alike on every node (the finalizer of SplitMix64).
+/// Hashes incarnations evenly and identically on every node (the finalizer of SplitMix64).
 uint64_t Mix(uint64_t value) {
   constexpr uint64_t kFirst = 0xbf58476d1ce4e5b9;
   constexpr uint64_t kSecond = 0x94d049bb133111eb;
@@ -98,8 +98,8 @@
 }
 
 void TableRelay::OnStoreAnswered(Time sent) {
-  // The watches may have been lost as the other call was. With a lease that outlasts the silence
-  // nothing else shows it, and a change was told up to 6 s late.
+  // The watches may have been lost like the other call. When the lease outlasts the outage nothing
+  // else reveals it, and a change was reported up to 6 s late.
   const bool anew = std::exchange(store_unresponsive_, false) && leading_ &&
                     sent - watch_restarted_at_ >= kMinWatchRestartInterval;
   if (anew) {
@@ -129,7 +129,7 @@
   const std::array<store::RowVersion, kTables> held = {report.configuration_version,
                                                        report.backends_version};
   for (size_t table = 0; table < kTables; ++table) {
-    // The report names the last change its copy holds; the copy may be whole far beyond it.
+    // The report names the last change in its copy; the copy may be complete far beyond it.
     Add(table, std::min(held[table], pushed_[table]), now, heartbeat);
   }
 }
@@ -162,7 +162,7 @@
     changes = follower.ChangesSince(pushed_[table]);
   }
   if (!changes.has_value()) {
-    // Who is not whole up to here has to ask the store, or another node for the whole table.
+    // Copies that are not complete up to here must read the store, or the full table from a node.
     changes = follower.ChangesSince(follower.settled_version());
   }
   heartbeat->tables.push_back(
@@ -201,8 +201,8 @@
     if (age >= settings_.freshness) {
       follower->Resume();
     } else if (until > now) {
-      // When a push was made is not known: from a slow coordinator it came 0.25 s late, and what
-      // leaving back ends were allowed ended that much too late.
+      // The creation time of a push is not known. A slow coordinator's push arrived 0.25 s late;
+      // counted from its arrival, the time allowed to leaving back ends ended that much too late.
       follower->Suspend(until, answers ? made - age : absl::InfinitePast());
     }
   }
--- a/src/core/membership/table_relay.h
+++ b/src/core/membership/table_relay.h
@@ -1,8 +1,8 @@
-// Lets the coordinator tell the others what the metadata store told it, so that most nodes need not
-// watch the store while the coordinator's copies are surely fresh.
+// Distribution of store tables by the coordinator, so that most nodes need not watch the metadata
+// store while the coordinator's copies are known to be current.
 //
-// The coordinator and a few standbys watch; every other node suspends its watches, table by table,
-// for as long as the last heartbeat vouches for the copy.
+// The coordinator and a few standbys watch the store. Every other node suspends its watches, per
+// table, for as long as the last heartbeat confirms its copy.
 #pragma once
 
 #include <array>
@@ -18,12 +18,12 @@
 
 struct RelaySettings {
   bool enabled = true;
-  /// Members that watch besides the coordinator.
+  /// Number of members that watch in addition to the coordinator.
   uint32_t standbys = 2;
-  /// A copy that was not confirmed for so long does not do instead of an own watch.
+  /// A copy that was not confirmed for this long does not replace the node's own watch.
   Duration freshness = absl::Milliseconds(1500);
-  /// Nor does one without a heartbeat for so long: one that answers a report counts from the
-  /// report's send; one that was pushed, whose age is unknown, is heard for less.
+  /// Nor does a copy whose last heartbeat is older than this. An answer to a report counts from the
+  /// send of the report; a pushed heartbeat, whose age is unknown, has a shorter limit.
   Duration max_heartbeat_age = absl::Milliseconds(700);
   Duration max_pushed_heartbeat_age = absl::Milliseconds(600);
   /// How long the store holds the coordinator's watches.
@@ -36,44 +36,46 @@
   TableRelay(const RelaySettings& settings, uint64_t self, store::TableFollower* configuration,
              store::TableFollower* backends);
 
-  /// This node coordinates from now on, or no longer.
+  /// Records whether this node coordinates.
   void OnLeading(bool leading);
-  /// The store answered a call of this node, other than the followers', that was sent then.
+  /// Records that the store answered a call of this node, other than the followers', sent at
+  /// `sent`.
   void OnStoreAnswered(Time sent);
-  /// The machine was suspended.
+  /// Records that the machine was suspended.
   void OnResumed();
-  /// Another call of this node got no answer.
+  /// Records that another call of this node got no answer.
   void OnStoreUnanswered() { store_unresponsive_ = true; }
 
-  /// At the coordinator: whether it holds changes that were not pushed.
+  /// At the coordinator: whether there are changes that were not pushed.
   bool HasUpdates() const;
-  /// Puts into `heartbeat` what the reporter's copies lack.
+  /// Adds to `heartbeat` what the reporter's copies lack.
   void AddToAnswer(const Report& report, Time now, Heartbeat* heartbeat) const;
-  /// Puts into `heartbeat`, which goes to some nodes beside a push, what all were pushed already.
+  /// Adds to `heartbeat`, which is sent to some nodes outside of a push, the updates since the last
+  /// push; the pushed versions do not change.
   void AddAsPushed(Time now, Heartbeat* heartbeat) const;
-  /// Puts into `heartbeat`, which goes to all nodes, what changed since the last push.
+  /// Adds to `heartbeat`, which goes to all nodes, the changes since the last push.
   void AddToPush(Time now, Heartbeat* heartbeat);
 
-  /// Takes the rows that any node's heartbeat carries. True when a copy changed.
+  /// Applies the rows in any node's heartbeat. Returns whether a copy changed.
   bool TakeRows(const Heartbeat& heartbeat, Time now);
-  /// The coordinator's heartbeat, its rows taken: decides who watches. It was made at `made` or
-  /// later when it `answers` a report.
+  /// Decides, after TakeRows, from the coordinator's heartbeat whether this node watches. A
+  /// heartbeat that `answers` a report was created at `made` or later.
   void OnCoordinatorHeartbeat(const Heartbeat& heartbeat, Time made, bool answers, Time now);
-  /// At the coordinator: which of the others, by incarnation, are to watch besides it. Spread over
-  /// the fleet, and the same as long as they take part.
+  /// At the coordinator: returns the incarnations of the members that also watch. The choice is
+  /// spread over the fleet and stable while these members take part.
   std::vector<uint64_t> ChooseStandbys(std::vector<uint64_t> others) const;
 
  private:
   static constexpr size_t kTables = 2;
 
-  /// Both tables were read once: nothing is said of one alone.
+  /// Whether both tables are known; updates are never sent for one table alone.
   bool AllKnown() const;
-  /// Adds what copies that are whole up to `base` lack; or, when that is not remembered, up to what
-  /// the last push brought all to.
+  /// Adds what a copy that is complete up to `base` lacks; when those changes are no longer known,
+  /// the changes since the last push.
   void Add(size_t table, store::RowVersion base, Time now, Heartbeat* heartbeat) const;
-  /// Whether this node is to watch besides the coordinator.
+  /// Whether the heartbeat names this node as a standby.
   bool IsStandby(const Heartbeat& heartbeat) const;
-  /// Whether a copy, the news taken, is as whole as the coordinator's.
+  /// Whether a copy that has applied the update is as complete as the coordinator's.
   static bool Reaches(const store::TableFollower& follower, const TableUpdate& update);
 
   RelaySettings settings_;
@@ -82,10 +84,10 @@
   std::array<store::TableFollower*, kTables> followers_;
   Duration own_watch_wait_;
   bool leading_ = false;
-  /// A call got no answer, and none has got one since.
+  /// A call got no answer, and no later call has been answered.
   bool store_unresponsive_ = false;
   Time watch_restarted_at_ = absl::InfinitePast();
-  /// What the last push brought all copies to.
+  /// The versions that the last push brought all copies to.
   std::array<store::RowVersion, kTables> pushed_ = {};
 };
 
--- a/src/core/membership/whole_copies.h
+++ b/src/core/membership/whole_copies.h
@@ -1,11 +1,11 @@
-// Bounds what the coordinator spends on whole maps and whole lists of members.
+// Bounds the time that the coordinator spends on sending full maps and full lists of members.
 //
-// Both are long where nodes and ranges are many, and after a start of the whole fleet everybody
-// lacks them at once: encoding one for each of 300 reports would cost the coordinator its lease. So
-// one report in a while is answered with them; for the others that ask meanwhile they are encoded
-// once, and sent together at the end of the while.
+// Both are large where there are many nodes and ranges, and after a start of the entire fleet all
+// nodes lack them at once: encoding them for each of 300 reports would cost the coordinator its
+// lease. So one report per interval is answered with full copies; for the other nodes that need
+// them they are encoded once and sent together at the end of the interval.
 //
-// Pure: no I/O, no thread, no clock.
+// Deterministic: no I/O, no thread, no clock.
 #pragma once
 
 #include <utility>
@@ -18,8 +18,8 @@
 
 class FullCopies {
  public:
-  /// Whether a report may be answered with whole copies now; else `node` is one of those that
-  /// get them when they are due.
+  /// Returns whether a report may be answered with full copies now; otherwise adds `node` to those
+  /// that receive them when they are due.
   bool Grant(const Destination& node, Time now) {
     if (now >= next_) {
       next_ = now + kInterval;
@@ -29,7 +29,7 @@
     return false;
   }
   bool Due(Time now) const { return !waiting_.empty() && now >= next_; }
-  /// Those that wait; the next ones have to wait for an interval from now.
+  /// Returns the waiting nodes and starts a new interval.
   std::vector<Destination> Take(Time now) {
     next_ = now + kInterval;
     return std::exchange(waiting_, {});
@@ -38,8 +38,8 @@
   Time NextWake() const { return waiting_.empty() ? absl::InfiniteFuture() : next_; }
 
  private:
-  /// A map of 1,200 ranges takes some 2 ms of processor time to encode and compress (assumed from
-  /// the 32 us that 100 ranges took uncompressed, design note 014): 4% of a core at this interval.
+  /// Encoding and compressing a map of 1,200 ranges takes an estimated 2 ms of processor time
+  /// (100 ranges took 32 us uncompressed), which is 4% of a core at this interval.
   static constexpr Duration kInterval = absl::Milliseconds(50);
 
   Time next_ = absl::InfinitePast();
--- a/tests/unit/membership/coordinating_test.cc
+++ b/tests/unit/membership/coordinating_test.cc
@@ -1,4 +1,4 @@
-// A node that coordinates: what it pushes, and what it answers to reports.
+// Tests of a coordinating node: its pushes and its answers to reports.
 #include <boost/test/unit_test.hpp>
 #include <set>
 
@@ -7,7 +7,7 @@
 namespace ladderstream::membership {
 namespace {
 
-// Who may send to a cold back end is drawn from the list: a node without one may not.
+// The nodes that may send to a cold back end are drawn from the list; a node without one may not.
 BOOST_AUTO_TEST_CASE(SingleNodePublishesItsMemberListWhenItBecomesCoordinator) {
   Node node(2);
   node.membership.OnLeaseHeld(MakeLease(3, 2), kStart + absl::Seconds(2), kStart);
@@ -29,15 +29,15 @@
   Answer(sequence, list, kStart + absl::Milliseconds(1500));
   const auto confirmed = Take<MembersConfirmedAction>();
   BOOST_REQUIRE(confirmed.size() == 1);
-  // From the report's send, less the margin.
+  // Counted from the send of the report, less the margin.
   BOOST_TEST((confirmed.front().until == kStart + absl::Milliseconds(2900)));
-  // A push, whose age is not known, confirms nothing.
+  // A push confirms nothing because its age is not known.
   Answer(0, list, kStart + absl::Milliseconds(1600));
   BOOST_TEST(Take<MembersConfirmedAction>().empty());
 }
 
-/// While a lease that is not renewed goes on, another node may lead and have another list.
-BOOST_AUTO_TEST_CASE(TheEndOfALeaseConfirmsNoList) {
+/// While a lease that is no longer renewed runs out, another node may coordinate with another list.
+BOOST_AUTO_TEST_CASE(LastPartOfLeaseConfirmsNoMemberList) {
   Follower follower(absl::Seconds(4));
   Heartbeat list = MakeHeartbeat(3, 2, {3, 1});
   list.members = {MakeIdentity(1), MakeIdentity(2)};
@@ -51,7 +51,7 @@
   BOOST_TEST(follower.Take<MembersConfirmedAction>().size() == 1U);
 }
 
-BOOST_FIXTURE_TEST_CASE(ASuccessorTellsAllMembersAtOnce, Coordinator) {
+BOOST_FIXTURE_TEST_CASE(SuccessorNotifiesAllMembersImmediately, Coordinator) {
   const auto pushed = TakeSent<Heartbeat>();
   BOOST_REQUIRE(pushed.size() == 1);
   BOOST_TEST(pushed.front().first.size() == 2);
@@ -61,7 +61,7 @@
   BOOST_TEST(TakeSent<Heartbeat>().empty());
 }
 
-BOOST_FIXTURE_TEST_CASE(AReportIsAnsweredWithTheMapOnlyWhenItIsOlder, Coordinator) {
+BOOST_FIXTURE_TEST_CASE(ReportIsAnsweredWithMapOnlyWhenOutdated, Coordinator) {
   membership.TakeActions();
   membership.OnMessage(kConnection, ReportOf(1, {2, 8}), kStart + absl::Seconds(1));
   membership.OnMessage(kConnection, ReportOf(1, {2, 9}), kStart + absl::Seconds(1));
@@ -74,21 +74,21 @@
   BOOST_TEST(answers[1].second.map.empty());
 }
 
-/// After a start of the whole fleet everybody lacks the map at once. Encoding it for each of 300
+/// After a start of the entire fleet all nodes lack the map at once. Encoding it for each of 300
 /// reports cost the coordinator its lease.
-BOOST_FIXTURE_TEST_CASE(AWholeMapIsMadeOnceForThoseThatAskTogether, Coordinator) {
+BOOST_FIXTURE_TEST_CASE(FullMapIsEncodedOnceForConcurrentReports, Coordinator) {
   membership.TakeActions();
   const Time asked = kStart + absl::Seconds(1);
   constexpr uint64_t kNodes = 40;
   for (uint64_t number = 10; number < 10 + kNodes; ++number) {
     membership.OnMessage(number, ReportOf(number, {}), asked);
   }
-  size_t whole = 0;
+  size_t full_maps = 0;
   for (const auto& [to, answer] : TakeSent<Heartbeat>()) {
     BOOST_TEST(answer.answered_report == 41);
-    whole += answer.map.size();
+    full_maps += answer.map.size();
   }
-  BOOST_TEST(whole == 1U);
+  BOOST_TEST(full_maps == 1U);
   membership.OnTick(asked + absl::Milliseconds(50));
   auto sent = TakeSent<Heartbeat>();
   std::erase_if(sent, [](const auto& heartbeat) { return heartbeat.second.map.empty(); });
@@ -99,7 +99,7 @@
   BOOST_TEST(sent.front().second.answered_report == 0);
 }
 
-BOOST_FIXTURE_TEST_CASE(AChangedMapIsPushedAtOnceThenBounded, Coordinator) {
+BOOST_FIXTURE_TEST_CASE(ChangedMapIsPushedImmediatelyThenRateLimited, Coordinator) {
   membership.TakeActions();
   const Time first = kStart + absl::Milliseconds(100);
   membership.OnMap(MakeMap(3, 1), first);
@@ -117,21 +117,21 @@
   BOOST_TEST((pushed.front().second.map_version == ownership::MapVersion{3, 3}));
 }
 
-BOOST_FIXTURE_TEST_CASE(RareReportsAreMadeUpForBySignsOfLife, Coordinator) {
+BOOST_FIXTURE_TEST_CASE(KeepAlivesAreSentBetweenInfrequentReports, Coordinator) {
   membership.OnLeaseHeld(MakeLease(3, 2), kStart + absl::Minutes(1), kStart);
   for (uint64_t number = 10; number < 310; ++number) {
     membership.OnMessage(number, ReportOf(number, {2, 9}), kStart + absl::Seconds(1));
   }
-  // Those that lack the list get it together.
+  // Nodes that lack the list receive it together.
   membership.OnTick(kStart + absl::Milliseconds(1100));
   membership.TakeActions();
   membership.OnTick(kStart + absl::Milliseconds(1500));
-  BOOST_TEST(TakeSent<Heartbeat>().empty());  // to all that is known, three nodes take part
+  BOOST_TEST(TakeSent<Heartbeat>().empty());  // the published list still has three nodes
   const Time published = kStart + absl::Seconds(4);
   membership.OnTick(published);
   BOOST_TEST(Take<MembersChangedAction>().front().count == 301);
-  for (int sign = 1; sign <= 2; ++sign) {
-    membership.OnTick(published + absl::Milliseconds(450) * sign);
+  for (int keep_alive = 1; keep_alive <= 2; ++keep_alive) {
+    membership.OnTick(published + absl::Milliseconds(450) * keep_alive);
     const auto pushed = TakeSent<Heartbeat>();
     BOOST_REQUIRE(pushed.size() == 1);
     BOOST_TEST(pushed.front().first.size() == 300);
@@ -139,7 +139,7 @@
   }
 }
 
-BOOST_FIXTURE_TEST_CASE(ASignOfLifeCarriesTheMapThatWaitsForItsPush, Coordinator) {
+BOOST_FIXTURE_TEST_CASE(KeepAliveCarriesMapWaitingForPush, Coordinator) {
   membership.OnLeaseHeld(MakeLease(3, 2), kStart + absl::Minutes(1), kStart);
   for (uint64_t number = 10; number < 310; ++number) {
     membership.OnMessage(number, ReportOf(number, {2, 9}), kStart + absl::Seconds(1));
@@ -156,27 +156,27 @@
   BOOST_TEST((sent.front().second.map_changes.front().version == ownership::MapVersion{3, 2}));
 }
 
-BOOST_FIXTURE_TEST_CASE(AnEndedLeaseIsNotTold, Coordinator) {
+BOOST_FIXTURE_TEST_CASE(EndedLeaseIsNotReported, Coordinator) {
   membership.TakeActions();
   const Time later = kStart + absl::Milliseconds(2500);
   membership.OnMessage(kConnection, ReportOf(1, {2, 8}), later);
   const auto answers = TakeSent<Heartbeat>();
   BOOST_TEST(answers.front().second.lease_left_ms == 0);
   BOOST_TEST(answers.front().second.map.empty());
-  // As long as at the nodes that it confirmed the map to at the end of its lease, and no longer.
+  // The same limit as on nodes whose map it confirmed at the end of its lease.
   BOOST_TEST((membership.map_confirmed_until() == later + kConfirmation));
   membership.OnTick(later);
   BOOST_TEST((membership.NextWake() > later));
 }
 
-BOOST_FIXTURE_TEST_CASE(ALeaseOfALaterEpochEndsThisOne, Coordinator) {
+BOOST_FIXTURE_TEST_CASE(LeaseOfLaterEpochEndsThisOne, Coordinator) {
   membership.OnMessage(kConnection, MakeHeartbeat(4, 6, {}), kStart);
   BOOST_TEST(!membership.IsCoordinator(kStart));
   membership.OnLeaseHeld(MakeLease(3, 2), kStart + absl::Seconds(3), kStart);
   BOOST_TEST(!membership.IsCoordinator(kStart));
 }
 
-BOOST_FIXTURE_TEST_CASE(AnUnknownSenderIsAskedForItsIdentity, Coordinator) {
+BOOST_FIXTURE_TEST_CASE(UnknownSenderIsAskedForItsIdentity, Coordinator) {
   membership.TakeActions();
   Report report = ReportOf(9, {2, 9});
   report.sender = {.incarnation = 9, .name = {}, .zone = {}, .address = {}};
@@ -188,7 +188,7 @@
   BOOST_TEST(!TakeSent<Heartbeat>().front().second.identity_wanted);
 }
 
-BOOST_FIXTURE_TEST_CASE(AMemberIsSentWhatChangedInTheList, Coordinator) {
+BOOST_FIXTURE_TEST_CASE(MemberReceivesChangesToTheList, Coordinator) {
   const auto pushed = TakeSent<Heartbeat>();
   BOOST_TEST(pushed.front().second.members.empty());
   BOOST_TEST_REQUIRE(pushed.front().second.member_changes.size() == 1);
@@ -202,7 +202,7 @@
   BOOST_TEST(TakeSent<Heartbeat>().front().second.members.size() == 3);
 }
 
-BOOST_FIXTURE_TEST_CASE(ReportedLoadsAreHandedOn, Coordinator) {
+BOOST_FIXTURE_TEST_CASE(ReportedLoadsAreForwarded, Coordinator) {
   Report report = ReportOf(1, {2, 9});
   report.loads = {LoadReport{}};
   membership.OnMessage(kConnection, report, kStart);
--- a/tests/unit/membership/load_sampling_test.cc
+++ b/tests/unit/membership/load_sampling_test.cc
@@ -21,14 +21,14 @@
   return load;
 }
 
-BOOST_AUTO_TEST_CASE(AShortReportStaysWhole) {
+BOOST_AUTO_TEST_CASE(ShortReportIsNotSampled) {
   LoadReport load = MakeLoad(16);
   SampleLoad(16, 0.9, &load);
   BOOST_TEST(load.keys.size() == 16);
   BOOST_TEST(load.backends.size() == 16);
 }
 
-BOOST_AUTO_TEST_CASE(ASampleKeepsTheSumAndTheHotKey) {
+BOOST_AUTO_TEST_CASE(SamplePreservesSumAndHotKey) {
   for (const double draw : {0.0, 0.3, 0.99}) {
     LoadReport load = MakeLoad(1000);
     SampleLoad(20, draw, &load);
@@ -42,7 +42,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(FiguresOfABackEndStayTogether) {
+BOOST_AUTO_TEST_CASE(BackEndFiguresStayAligned) {
   LoadReport load = MakeLoad(100);
   SampleLoad(10, 0.95, &load);
   BOOST_TEST_REQUIRE(load.backends.size() == 10);
--- a/tests/unit/membership/map_changes_test.cc
+++ b/tests/unit/membership/map_changes_test.cc
@@ -1,4 +1,5 @@
-// Changes between ownership maps lead from one to the other, and to nothing else.
+// Tests that changes between ownership maps turn the older map into the newer one and apply to no
+// other map.
 #include "core/ownership/map_changes.h"
 
 #include <absl/strings/str_cat.h>
@@ -35,7 +36,7 @@
 
 BOOST_AUTO_TEST_SUITE(map_changes)
 
-BOOST_AUTO_TEST_CASE(ChangesOfAnyLengthLeadToTheNewerMap) {
+BOOST_AUTO_TEST_CASE(ChangesProduceTheNewerMap) {
   std::mt19937_64 random(7);
   OwnershipMap map{{1, 1}, {}};
   OwnershipMap older = map;
@@ -51,7 +52,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(ChangesLeadOnFromEachMapBetween) {
+BOOST_AUTO_TEST_CASE(ChangesApplyToEveryIntermediateMap) {
   std::mt19937_64 random(7);
   std::vector<OwnershipMap> maps = {RandomSuccessor({{1, 1}, {}}, &random)};
   for (int round = 0; round < kRounds; ++round) {
@@ -85,7 +86,7 @@
   BOOST_TEST(ApplyChanges(first, ChangesBetween(first, successor)).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(AServiceThatWentAndCameBackIsNotMadeUp) {
+BOOST_AUTO_TEST_CASE(ChangesDoNotRestoreServiceMissingFromTheCopy) {
   std::mt19937_64 random(7);
   const OwnershipMap with = RandomSuccessor({{1, 1}, {}}, &random);
   OwnershipMap without = with;
@@ -99,7 +100,7 @@
   BOOST_TEST(!ApplyChanges(without, ChangesBetween(with, changed)));
 }
 
-BOOST_AUTO_TEST_CASE(AServiceOfBetweenThatWentAgainIsRemoved) {
+BOOST_AUTO_TEST_CASE(ServiceOfIntermediateMapIsRemoved) {
   std::mt19937_64 random(7);
   const OwnershipMap before{{1, 1}, {}};
   const OwnershipMap between = RandomSuccessor(before, &random);
@@ -109,7 +110,7 @@
   BOOST_TEST(reached->services.empty());
 }
 
-BOOST_AUTO_TEST_CASE(AServiceThatGoesIsRemoved) {
+BOOST_AUTO_TEST_CASE(RemovedServiceIsRemoved) {
   std::mt19937_64 random(7);
   const OwnershipMap with = RandomSuccessor({{1, 1}, {}}, &random);
   OwnershipMap without = with;
@@ -120,7 +121,7 @@
   BOOST_TEST(reached->services.empty());
 }
 
-BOOST_AUTO_TEST_CASE(OneMovedRangeCostsFewAssignments) {
+BOOST_AUTO_TEST_CASE(OneMovedRangeChangesFewAssignments) {
   std::mt19937_64 random(7);
   OwnershipMap map{{1, 1}, {}};
   for (int round = 0; round < kRounds; ++round) {
--- a/tests/unit/membership/member_table_test.cc
+++ b/tests/unit/membership/member_table_test.cc
@@ -15,7 +15,7 @@
   MemberTable table{MakeIdentity(1), kLifetime, absl::Milliseconds(10)};
 };
 
-BOOST_FIXTURE_TEST_CASE(ASilentMemberLeaves, Fixture) {
+BOOST_FIXTURE_TEST_CASE(UnresponsiveMemberIsRemoved, Fixture) {
   table.OnReport(MakeIdentity(2), 5, kStart);
   table.OnReport(MakeIdentity(3), 6, kStart + absl::Seconds(1));
   BOOST_TEST(table.Refresh(kStart + absl::Seconds(1), kReportInterval));
@@ -27,13 +27,13 @@
   BOOST_TEST(table.version() > version);
 }
 
-BOOST_FIXTURE_TEST_CASE(RareReportsMakeALongerLife, Fixture) {
+BOOST_FIXTURE_TEST_CASE(InfrequentReportsExtendMemberLifetime, Fixture) {
   table.OnReport(MakeIdentity(2), 5, kStart);
   table.Refresh(kStart + absl::Seconds(5), absl::Milliseconds(1500));
   BOOST_TEST(table.members().size() == 2);
 }
 
-BOOST_FIXTURE_TEST_CASE(AnotherRunAtTheAddressReplacesTheFirst, Fixture) {
+BOOST_FIXTURE_TEST_CASE(NewProcessAtSameAddressReplacesTheOld, Fixture) {
   PeerIdentity restarted = MakeIdentity(2);
   restarted.incarnation = 22;
   table.OnReport(MakeIdentity(2), 5, kStart);
@@ -61,7 +61,7 @@
   BOOST_TEST(table.Adopt(MakeMemberList(successor.members(), successor.version()), kStart));
 }
 
-BOOST_FIXTURE_TEST_CASE(ASuccessorGivesEverybodyTimeToReport, Fixture) {
+BOOST_FIXTURE_TEST_CASE(SuccessorGivesMembersFullLifetimeToReport, Fixture) {
   table.Adopt(MakeMemberList({MakeIdentity(1), MakeIdentity(2)}, 9), kStart);
   const Time take_over = kStart + absl::Minutes(1);
   table.TakeOver(5, take_over);
@@ -71,7 +71,7 @@
   BOOST_TEST(table.members().size() == 1);
 }
 
-/// A coordinator's list, and a copy that took the first one whole.
+/// A coordinator's list and a copy that adopted its first full version.
 struct ChangesFixture : Fixture {
   ChangesFixture() {
     table.TakeOver(1, kStart);
--- a/tests/unit/membership/membership_fixture.h
+++ b/tests/unit/membership/membership_fixture.h
@@ -1,4 +1,4 @@
-// A node that follows a coordinator, and one that coordinates.
+// Fixtures of a node that follows a coordinator and of a node that coordinates.
 #pragma once
 
 #include "core/membership/membership.h"
@@ -11,11 +11,11 @@
 /// The first reports to a new coordinator are spread over less than this.
 inline constexpr Duration kSpread = absl::Milliseconds(10);
 
-/// What one answered report confirms a map for, from its send.
+/// How long one answered report confirms a map, counted from its send.
 inline const Duration kConfirmation =
     MembershipSettings{}.confirmation - MembershipSettings{}.confirmation_margin;
 
-/// A heartbeat of node `number` as coordinator.
+/// Returns a heartbeat of node `number` as coordinator.
 inline Heartbeat MakeHeartbeat(uint64_t epoch, uint64_t number, ownership::MapVersion map_version) {
   Heartbeat heartbeat;
   heartbeat.sender = number;
@@ -34,7 +34,7 @@
     membership.TakeActions();
   }
 
-  /// Sends a report and gives its sequence.
+  /// Sends a report and returns its sequence.
   uint64_t SendReport(Time now) {
     membership.SendReport({}, {}, now);
     return TakeSent<Report>().front().second.sequence;
--- a/tests/unit/membership/membership_test.cc
+++ b/tests/unit/membership/membership_test.cc
@@ -1,4 +1,5 @@
-// A node that does not coordinate: its reports, whom it follows, how long its map is confirmed.
+// Tests of a node that does not coordinate: its reports, the coordinator it follows, and how long
+// its map is confirmed.
 #include <boost/test/unit_test.hpp>
 
 #include "membership_fixture.h"
@@ -21,12 +22,12 @@
   node.membership.OnMessage(kConnection, answers.front().second, kStart);
   BOOST_REQUIRE(node.membership.holder().has_value());
   BOOST_TEST(node.membership.holder()->incarnation == 2);
-  // Hearsay is no sign of life of the coordinator and confirms no map.
+  // An answer of another node is no heartbeat of the coordinator and confirms no map.
   BOOST_TEST(node.Take<HeartbeatReceivedAction>().empty());
   BOOST_TEST((node.membership.map_confirmed_until() == absl::InfinitePast()));
 }
 
-/// Pushes alone would have to keep a node going that waits longer for its first report.
+/// A node that waited longer for its first report would depend on pushes alone.
 BOOST_FIXTURE_TEST_CASE(ManyNodesReportToSuccessorWithinLongestInterval, Follower) {
   constexpr uint64_t kManyNodes = 1200;
   Heartbeat heartbeat = MakeHeartbeat(3, 2, {3, 1});
@@ -56,7 +57,7 @@
   BOOST_TEST(!shortened.IsComplete());
   BOOST_TEST(shortened.incarnation == self.incarnation);
   BOOST_TEST((sender_of_next(false, 3, 2) == self));
-  // A successor may know less.
+  // A successor may not know the identity.
   membership.OnHolderKnown(MakeLease(4, 3), kStart);
   BOOST_TEST((sender_of_next(false, 4, 3) == self));
 }
@@ -118,20 +119,20 @@
   Answer(sequence, MakeHeartbeat(3, 2, {3, 1}), kStart + absl::Milliseconds(700));
   const Time until = kStart + kConfirmation;
   BOOST_TEST((membership.map_confirmed_until() == until));
-  // The same answer again, or one to a report never sent, confirms nothing.
+  // A repeated answer, or one to a report that was never sent, confirms nothing.
   Answer(sequence, MakeHeartbeat(3, 2, {3, 1}), kStart + absl::Seconds(5));
   Answer(99, MakeHeartbeat(3, 2, {3, 1}), kStart + absl::Seconds(5));
   BOOST_TEST((membership.map_confirmed_until() == until));
 }
 
-/// A successor waits for maps that were confirmed before the end of the lease, so requests need
-/// not.
+/// A successor waits until maps confirmed before the end of the lease are no longer in use, so
+/// requests need not wait.
 BOOST_FIXTURE_TEST_CASE(MapConfirmationOutlastsCoordinatorLease, Follower) {
   Heartbeat ending_lease = MakeHeartbeat(3, 2, {3, 1});
   ending_lease.lease_left_ms = 50;
   Answer(SendReport(kStart), ending_lease, kStart);
   BOOST_TEST((membership.map_confirmed_until() == kStart + kConfirmation));
-  // One that ran out confirms nothing.
+  // A lease that has run out confirms nothing.
   ending_lease.lease_left_ms = 0;
   Answer(SendReport(kStart + absl::Seconds(1)), ending_lease, kStart + absl::Seconds(1));
   BOOST_TEST((membership.map_confirmed_until() == kStart + kConfirmation));
@@ -153,13 +154,13 @@
   Answer(SendReport(kStart), MakeHeartbeat(3, 2, {2, 8}), kStart);
   BOOST_TEST((membership.map_confirmed_until() == absl::InfinitePast()));
   Answer(SendReport(kStart), MakeHeartbeat(3, 2, {3, 1}), kStart);
-  // A newer map exists that this node has not got: the one held is confirmed no longer than it was.
+  // A newer map exists that this node lacks: the confirmation of the held one is not extended.
   const uint64_t later = SendReport(kStart + absl::Seconds(1));
   Answer(later, MakeHeartbeat(3, 2, {3, 2}), kStart + absl::Seconds(1));
   BOOST_TEST((membership.map_confirmed_until() == kStart + kConfirmation));
 }
 
-/// At 295 nodes each bare heartbeat between two pushes once stopped all of them from using the map.
+/// At 295 nodes, each heartbeat without the map between two pushes made all nodes stop using it.
 BOOST_FIXTURE_TEST_CASE(NewerMapElsewhereKeepsConfirmedMapInUse, Follower) {
   Answer(SendReport(kStart), MakeHeartbeat(3, 2, {3, 1}), kStart);
   membership.OnMessage(kConnection, MakeHeartbeat(3, 2, {3, 2}), kStart + absl::Milliseconds(450));
--- a/tests/unit/membership/message_codec_test.cc
+++ b/tests/unit/membership/message_codec_test.cc
@@ -51,8 +51,8 @@
               ValidHeartbeat().map.front().services));
 }
 
-/// The message with its body's last fields taken away, or with one more, as a node of the version
-/// before or after this one sends it.
+/// Returns the message with the last fields of its body removed, or with more fields, as a node of
+/// the previous or the next version sends it.
 std::string OfAnotherVersion(const Message& message, int more_fields) {
   const std::string bytes = EncodeMessage(message);
   msgpack::object_handle handle = msgpack::unpack(bytes.data(), bytes.size());
@@ -66,7 +66,7 @@
   return {buffer.data(), buffer.size()};
 }
 
-/// During a rolling update nodes of two versions talk to each other.
+/// During a rolling update nodes of two versions exchange messages.
 BOOST_AUTO_TEST_CASE(HeartbeatsOfPreviousAndNextVersionAreAccepted) {
   Heartbeat heartbeat = ValidHeartbeat();
   heartbeat.standbys = {2, 3};
@@ -81,7 +81,7 @@
   BOOST_TEST(std::get<Heartbeat>(next).standbys.size() == 2);
 }
 
-/// TableUpdate of the version before.
+/// TableUpdate of the previous version.
 struct PreviousTableUpdate {
   uint64_t base = 0;
   uint64_t version = 0;
@@ -181,9 +181,9 @@
 }
 
 BOOST_AUTO_TEST_CASE(AnnouncedSizesAreNotTrusted) {
-  // A list of four thousand million values, of which none follows.
+  // A list announcing 2^32 - 1 values, none of which follows.
   BOOST_TEST(IsMalformed(std::string("\x92\x00\xdd\xff\xff\xff\xff", 7)));
-  // Sound but for the number of values in all lists together.
+  // Valid except for the number of values in all lists together.
   Report report = ValidReport();
   report.loads.assign(9, LoadReport{});
   for (LoadReport& load : report.loads) {
--- a/tests/unit/membership/node_fixture.h
+++ b/tests/unit/membership/node_fixture.h
@@ -1,4 +1,4 @@
-// One node's membership with its followers, and what it asked for, sorted by kind.
+// A fixture of one node's membership with its table followers, and access to its actions by kind.
 #pragma once
 
 #include <absl/strings/str_cat.h>
@@ -49,7 +49,7 @@
   return reply;
 }
 
-/// A node with number `number`; knows one seed.
+/// The node with number `number`, which knows one seed.
 struct Node {
   explicit Node(uint64_t number, const RelaySettings& relay = {},
                 Duration members_lease_reserve = absl::ZeroDuration())
@@ -62,7 +62,7 @@
                     .seed = number},
                    self, &configuration, &backends) {}
 
-  /// Takes the actions and keeps those of one kind.
+  /// Takes all actions and returns those of one kind.
   template <typename Kind>
   std::vector<Kind> Take() {
     std::vector<Kind> taken;
@@ -74,7 +74,7 @@
     return taken;
   }
 
-  /// Takes the actions and keeps the messages of one kind, with where they go.
+  /// Takes all actions and returns the messages of one kind with their destinations.
   template <typename Kind>
   std::vector<std::pair<std::vector<Destination>, Kind>> TakeSent() {
     std::vector<std::pair<std::vector<Destination>, Kind>> sent;
@@ -86,7 +86,7 @@
     return sent;
   }
 
-  /// The store answers both followers.
+  /// Answers the reads of both followers.
   void LoadTables(const std::vector<SharedRow>& configuration_rows,
                   const std::vector<SharedRow>& backend_rows, store::RowVersion version, Time now) {
     const auto read = configuration.Poll(now);
--- a/tests/unit/membership/relay_world.h
+++ b/tests/unit/membership/relay_world.h
@@ -1,4 +1,4 @@
-// Nodes, of which one coordinates, and the store they watch; any of them may fail.
+// A simulation of nodes, one of which coordinates, and the store that they watch, with failures.
 #pragma once
 
 #include <deque>
@@ -14,7 +14,7 @@
 
 namespace ladderstream::membership {
 
-/// Keeps two tables and answers reads and watches; tells of changes at the next step.
+/// Holds the tables and answers reads and watches; reports changes to watches at the next step.
 class WorldStore {
  public:
   using Reply = std::function<void(const store::StoreReply& reply)>;
@@ -75,7 +75,7 @@
 struct WorldNode : Node {
   using Node::Node;
 
-  /// Calls to the store stay without an answer; or only watches do.
+  /// `cut`: no call to the store is answered. `watches_dropped`: no watch is answered.
   bool cut = false;
   bool watches_dropped = false;
   bool frozen = false;
@@ -83,7 +83,7 @@
   std::deque<std::pair<uint64_t, Message>> inbox;
 };
 
-/// Messages take one step; node 1 holds the lease and renews it while the store answers it.
+/// Messages take one step. Node 1 holds the lease and renews it while the store answers it.
 class World {
  public:
   static constexpr uint64_t kCoordinator = 1;
@@ -129,7 +129,7 @@
     return now - start;
   }
   WorldNode& coordinator() { return *nodes.at(kCoordinator); }
-  /// Nodes that call the store while `change` goes on.
+  /// Returns the nodes that call the store while `change` runs.
   std::vector<uint64_t> Callers(const std::function<void()>& change) {
     for (auto& [number, node] : nodes) {
       node->calls = 0;
@@ -147,10 +147,10 @@
   WorldStore store;
   std::map<uint64_t, std::unique_ptr<WorldNode>> nodes;
   Time now = kStart;
-  /// A node has heard of requests that crash back ends.
+  /// Called when a node received requests that crash back ends.
   std::function<void(uint64_t, const std::vector<quarantine::SuspectRecord>&)> on_suspects =
       [](uint64_t, const auto&) {};
-  /// A node has heard of limits of back ends.
+  /// Called when a node received limits of back ends.
   std::function<void(uint64_t, const std::vector<allowance::LimitRecord>&)> on_limits =
       [](uint64_t, const auto&) {};
 
--- a/tests/unit/membership/snapshot_test.cc
+++ b/tests/unit/membership/snapshot_test.cc
@@ -8,7 +8,7 @@
 
 constexpr uint64_t kConnection = 5;
 
-/// Lets the store refuse every call of the node's followers up to `until`.
+/// Refuses every store call of the node's followers up to `until`.
 void RefuseUntil(Node& node, Time from, Time until) {
   store::StoreReply refused;
   refused.status = store::StoreStatus::kRefused;
@@ -62,7 +62,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(LateSnapshotConfirmsFromSendTimeOfItsRequest) {
-  // What the copies lack may have changed while the answer was on its way.
+  // The table may have changed while the answer was in transit.
   Node requester(1);
   Node helper(2);
   helper.LoadTables({{"config", "r12", 40}}, {{"i-1", "ready", 50}}, 60, kStart);
@@ -75,7 +75,7 @@
   const Snapshot answer = helper.TakeSent<Snapshot>().front().second;
   requester.membership.OnMessage(kConnection, answer, asked + absl::Seconds(2));
   BOOST_TEST((requester.backends.last_confirmed() == kStart));
-  // Nobody asked for this one: when it was made is not known.
+  // This snapshot answers no request, so its creation time is unknown.
   Snapshot unsolicited = answer;
   unsolicited.backends_version = 70;
   unsolicited.age_ms = 0;
@@ -129,7 +129,7 @@
 BOOST_AUTO_TEST_CASE(MissedChangeIsFetchedFromNodeThatKnowsIt) {
   Node node(1);
   node.LoadTables({{"config", "r12", 40}}, {}, 60, kStart);
-  node.configuration.Poll(kStart);  // the watch from 60 hangs
+  node.configuration.Poll(kStart);  // the watch from 60 stays unanswered
   Heartbeat heartbeat = MemberList({2, 3});
   heartbeat.configuration_version = 70;
   node.membership.OnMessage(kConnection, heartbeat, kStart);
@@ -151,7 +151,7 @@
   BOOST_TEST(node.TakeSent<SnapshotRequest>().empty());
 }
 
-BOOST_AUTO_TEST_CASE(AChangeThatTheOwnWatchBringsIsNotAskedFor) {
+BOOST_AUTO_TEST_CASE(ChangeDeliveredByOwnWatchIsNotRequested) {
   Node node(1);
   node.LoadTables({{"config", "r12", 40}}, {}, 60, kStart);
   const auto watch = node.configuration.Poll(kStart);
--- a/tests/unit/membership/table_relay_test.cc
+++ b/tests/unit/membership/table_relay_test.cc
@@ -12,14 +12,14 @@
 
 bool HoldsNew(const WorldNode& node) { return node.backends.rows().contains("new"); }
 
-/// After this, no watch from the start is still on its way.
+/// Changes both tables, so that no watch from the start is still outstanding.
 void Settle(World* world) {
   world->store.Put("configuration", "config");
   world->store.Put("backends", "first");
   world->Run(absl::Seconds(1));
 }
 
-/// One node's copies of both tables, read and about to be watched.
+/// One node's copies of both tables, which have been read and are due to be watched.
 struct WatchingRelay {
   WatchingRelay() {
     for (store::TableFollower* const follower : {&configuration, &backends}) {
@@ -30,7 +30,7 @@
     now += absl::Seconds(1);
   }
 
-  /// The watches that are due now; they are never answered.
+  /// Sends the watches that are due, without answering them, and returns their calls.
   std::vector<uint64_t> Watch() {
     std::vector<uint64_t> sent;
     for (store::TableFollower* const follower : {&configuration, &backends}) {
@@ -72,29 +72,24 @@
   }
 }
 
-// The store was silent for 3.7 s, and so was the coordinator's word, so every node sent watches of
-// its own. The store never answered them, nor did it end their connections, and a watch waits for
-// 20 s. A node took the lease 0.04 s after the store was back and vouched for its copy from then
-// on: a change of the configuration, taken by the store 4 s later, came to all 87 nodes only when
-// that node's old watch was given up:
-//
-//   up=23.38 coordinator_belief belief=lease_acquired
-//   up=24.02 store_calls detail="read 3 transaction 1 unanswered 0 watch 4"
-//   up=29.02 store_calls detail="read 3 transaction 44 unanswered 0 watch 4"
-//            configuration_applied configuration=7 age_ms=22787.1 cause=coordinator
+// Guards against a new coordinator that relies on a dead watch. During a store outage of 3.7 s all
+// nodes sent their own watches, which the store neither answered nor closed; a watch waits for 20
+// s. A node that acquired the lease 0.04 s after the outage confirmed its copy from then on,
+// although its watch was dead: a configuration change 4 s later reached all 87 nodes only when that
+// watch timed out, at an age of 22.8 s.
 BOOST_AUTO_TEST_CASE(NewLeaseHolderRestartsItsWatches) {
   WatchingRelay node;
   const std::vector<uint64_t> lost = node.Watch();
   node.now += absl::Seconds(2);
   node.relay.OnLeading(true);
   BOOST_TEST(node.Watch().size() == 2U);
-  // Should an old one be answered all the same, that is not taken for the new one's answer.
+  // A late reply to an old watch is not taken for the reply to the new one.
   node.backends.OnReply(lost.back(), {store::StoreStatus::kUnknown, {}, false, 0, ""}, node.now);
   BOOST_TEST(node.Watch().empty());
 }
 
-// The same with a lease that outlasts the silence: its holder's watches were lost with its other
-// calls, and waited for up to 6 s. Found in reading.
+// The same with a lease that outlasts the outage: the holder's watches are lost with its other
+// calls and would be waited for up to 6 s.
 BOOST_AUTO_TEST_CASE(LeaseHolderRestartsWatchesAfterUnansweredCall) {
   WatchingRelay node;
   node.relay.OnLeading(true);
@@ -106,14 +101,15 @@
   BOOST_TEST(node.Watch().empty());
   node.relay.OnStoreAnswered(node.now);
   BOOST_TEST(node.Watch().size() == 2U);
-  // Where the store loses many answers, not for each of them.
+  // Where the store loses many answers, the watches are not restarted for each of them.
   node.relay.OnStoreUnanswered();
   node.relay.OnStoreAnswered(node.now);
   BOOST_TEST(node.Watch().empty());
 }
 
-// A machine slept for 5 s with a watch on its way; the answer lay in its connection meanwhile, and
-// was taken for one that had come within a second of the change.
+// Guards against a wrong age of changes after a machine was suspended: it slept for 5 s with a
+// watch outstanding, and the reply waiting in its connection was taken for one within 1 s of the
+// change.
 BOOST_AUTO_TEST_CASE(ReplyAfterSuspensionMayReportOldChanges) {
   WatchingRelay node;
   const Time sent_at = node.now;
@@ -151,13 +147,13 @@
 }
 
 BOOST_AUTO_TEST_CASE(FrozenCoordinatorConfirmsNoCopies) {
-  // Confirmations count for long, so that only the silence tells.
+  // Confirmations count for long here, so that only the missing heartbeats end the reliance.
   World world(kNodes, {.standbys = 0, .freshness = absl::Seconds(2)});
   Settle(&world);
   world.coordinator().frozen = true;
   world.store.Put("backends", "new");
   BOOST_TEST(world.RunUntil(HoldsNew, kBound, World::kCoordinator) < absl::Milliseconds(800));
-  // Nor when it wakes up: what it says then is old.
+  // Nor when it resumes: its copy is outdated then.
   world.Run(absl::Seconds(3));
   world.store.Put("backends", "newer");
   world.coordinator().frozen = false;
@@ -181,7 +177,7 @@
   BOOST_TEST(world.RunUntil(HoldsNew, kBound) < absl::Milliseconds(500));
 }
 
-/// Node 2 hears the coordinator, node 1; both have read the same, then changes were missed.
+/// Node 2 follows the coordinator, node 1. Both have read the same tables; then changes are missed.
 struct Pair {
   Pair() : coordinator(1), node(2) {
     for (Node* each : {&coordinator, &node}) {
@@ -191,12 +187,12 @@
     Heartbeat first;
     from.AddToPush(kStart, &first);
   }
-  /// The coordinator's store tells of a change of the back ends.
+  /// Reports a change of the back ends to the coordinator's watch.
   void Change(const SharedRow& row, store::RowVersion version) {
     const auto watch = coordinator.backends.Poll(coordinator.backends.NextWake());
     coordinator.backends.OnReply(watch->call, StoreAnswer("backends", {row}, version), kStart);
   }
-  /// The store has forgotten its history, so the coordinator reads the back ends anew.
+  /// Reports that the history is gone and answers the coordinator's reread of the back ends.
   void Reread(const std::vector<SharedRow>& rows, store::RowVersion version) {
     store::TableFollower& table = coordinator.backends;
     const auto watch = table.Poll(table.NextWake());
@@ -225,8 +221,9 @@
 };
 
 BOOST_AUTO_TEST_CASE(PushSuspendsWatchButDoesNotAdvanceConfirmation) {
-  // A slow coordinator's pushes came a quarter of a second after they were made: taken for the
-  // moment of their arrival, requests reached an owner 2.045 s after it had left, 2 s allowed.
+  // A slow coordinator's pushes arrived a quarter of a second after they were created. Because they
+  // counted from their arrival, requests reached an owner 2.045 s after it had left; 2 s are
+  // allowed.
   Pair pair;
   const Time later = kStart + absl::Milliseconds(300);
   pair.coordinator.backends.Poll(pair.coordinator.backends.NextWake());
@@ -234,7 +231,7 @@
   pair.Receive(pair.Push(later), later);
   BOOST_TEST(pair.node.backends.Suspended(later));
   BOOST_TEST((pair.node.backends.last_confirmed() == kStart));
-  // An answer was made after its report was sent.
+  // An answer was created after its report was sent.
   pair.to.OnCoordinatorHeartbeat(pair.Push(later), later, /*answers=*/true, later);
   BOOST_TEST((pair.node.backends.last_confirmed() > kStart));
 }
@@ -250,7 +247,7 @@
   BOOST_TEST(!pair.node.backends.Suspended(kStart));
   BOOST_TEST(!pair.node.backends.rows().contains("i-3"));
   BOOST_TEST(pair.node.configuration.Suspended(kStart));
-  // The answer to its next report brings what it lacks.
+  // The answer to its next report contains what it lacks.
   Report report;
   report.configuration_version = 40;
   report.backends_version = 60;
@@ -326,8 +323,8 @@
   BOOST_TEST(signs.front().second.tables.size() == 2);
 }
 
-/// While the list of members was short, at the start of 295 nodes, all took themselves for
-/// standbys: 3,768 watches in five seconds.
+/// Guards against nodes that choose themselves as standbys: at the start of 295 nodes, while the
+/// list of members was short, all did so and sent 3,768 watches in five seconds.
 BOOST_AUTO_TEST_CASE(OnlyNodesNamedByCoordinatorAreStandbys) {
   Pair pair;
   Heartbeat heartbeat = pair.Push();
@@ -350,8 +347,8 @@
   BOOST_TEST(pair.from.ChooseStandbys({}).empty());
 }
 
-/// The store forgets its history: the coordinator reads the table anew and tells what went, by what
-/// its own copy held. Before, all 295 nodes read it too: 2,000 calls in two seconds.
+/// When the store loses its history, the coordinator rereads the table and derives the removals
+/// from its previous copy. Otherwise all 295 nodes would reread it: 2,000 calls in two seconds.
 BOOST_AUTO_TEST_CASE(RereadByCoordinatorKeepsOtherNodesSuspended) {
   Pair pair;
   pair.Change({"i-2", "ready", 70}, 70);
@@ -363,7 +360,7 @@
   BOOST_TEST(pair.node.backends.rows().at("i-2").value == "draining");
 }
 
-/// Nothing could be told from a version within the gap, and a node that tried ended by itself.
+/// Changes cannot be computed from a version inside the gap; a node that tried to crashed.
 BOOST_AUTO_TEST_CASE(ChangesAfterRereadAreSentFromItsEnd) {
   Pair pair;
   pair.Reread({{"i-1", "ready", 50}, {"i-2", "ready", 85}}, 90);
@@ -380,7 +377,7 @@
   BOOST_TEST(answer.tables.back().base == 90U);
 }
 
-/// It heard of a row that both came and went while the coordinator did not watch.
+/// The copy holds a row that was added and removed while the coordinator did not watch.
 BOOST_AUTO_TEST_CASE(CopyInsideTheGapIsNotConfirmed) {
   Pair pair;
   pair.Receive(pair.Push());
