--- a/src/core/membership/message_codec.cc
+++ b/src/core/membership/message_codec.cc
@@ -205,10 +205,10 @@
 
 void Check(const Snapshot& snapshot) {
   for (const SharedRow& row : snapshot.configuration) {
-    Require(row.version != 0, "snapshot: row ", row.key, " has no version");
+    Require(row.version != 0, "snapshot: row version is 0, expected the version of the store");
   }
   for (const SharedRow& row : snapshot.backends) {
-    Require(row.version != 0, "snapshot: row ", row.key, " has no version");
+    Require(row.version != 0, "snapshot: row version is 0, expected the version of the store");
   }
 }
 
--- a/tests/unit/membership/relay_world.h
+++ b/tests/unit/membership/relay_world.h
@@ -111,7 +111,8 @@
       }
     }
   }
-  /// Until `holds` for every node but those left out, at most for `most`; how long that took.
+  /// Runs until `holds` for every node except `left_out`, at most for `max_duration`. Returns the
+  /// time that it took.
   Duration RunUntil(const std::function<bool(const WorldNode&)>& holds, Duration max_duration,
                     uint64_t left_out = 0) {
     const Time start = now;
--- a/tests/unit/membership/table_relay_test.cc
+++ b/tests/unit/membership/table_relay_test.cc
@@ -360,7 +360,7 @@
   BOOST_TEST(pair.node.backends.rows().at("i-2").value == "draining");
 }
 
-/// Changes cannot be computed from a version inside the gap; a node that tried to crashed.
+/// Changes cannot be computed from a version inside the gap; a node that tried to terminated.
 BOOST_AUTO_TEST_CASE(ChangesAfterRereadAreSentFromItsEnd) {
   Pair pair;
   pair.Reread({{"i-1", "ready", 50}, {"i-2", "ready", 85}}, 90);
