--- a/src/core/membership/membership.cc
+++ b/src/core/membership/membership.cc
@@ -381,7 +381,7 @@
 }
 
 void Membership::OnTick(Time now) {
-  AskForSnapshot(now);
+  RequestSnapshot(now);
   if (lease_until_ != absl::InfinitePast() && !IsCoordinator(now)) {
     OnLeaseLost(now);
   }
@@ -440,13 +440,13 @@
   }
 }
 
-void Membership::AskForSnapshot(Time now) {
+void Membership::RequestSnapshot(Time now) {
   if (now < snapshots_.NextWake()) {
     return;
   }
-  const auto question = snapshots_.Poll(OthersAndSeeds(), now);
-  if (question.has_value()) {
-    Send({question->to}, question->request);
+  const auto request = snapshots_.Poll(OthersAndSeeds(), now);
+  if (request.has_value()) {
+    Send({request->to}, request->request);
   }
 }
 
--- a/src/core/membership/membership.h
+++ b/src/core/membership/membership.h
@@ -160,7 +160,7 @@
   void OnLimits(std::vector<allowance::LimitRecord> own_limits,
                 std::vector<allowance::LimitRecord> all, bool own, Time now);
   /// Sends a permit request; drops it when the receiving node is not a member.
-  void SendPermitQuestion(const allowance::PermitQuestion& question);
+  void SendPermitRequest(const allowance::PermitQuestion& question);
   void SendPermitAnswer(const Destination& to, const allowance::PermitReply& reply);
   void OnResumed() { relay_.OnResumed(); }
   void OnStoreUnanswered() { relay_.OnStoreUnanswered(); }
@@ -221,7 +221,7 @@
   /// Adds to the answer to a report what the reporter lacks of the map and the list of members.
   void AddCopies(const Report& report, const Destination& back, Time now, Heartbeat* answer);
   void SendFullCopies(Time now);
-  void AskForSnapshot(Time now);
+  void RequestSnapshot(Time now);
   std::vector<Destination> OthersAndSeeds() const;
   /// Returns the interval at which all nodes together send `reports_per_second`.
   Duration SharedReportInterval() const;
--- a/src/core/membership/membership_news.cc
+++ b/src/core/membership/membership_news.cc
@@ -48,7 +48,7 @@
       PermitAnsweredAction{{answer.sequence, answer.granted, absl::Milliseconds(answer.retry_ms)}});
 }
 
-void Membership::SendPermitQuestion(const allowance::PermitQuestion& question) {
+void Membership::SendPermitRequest(const allowance::PermitQuestion& question) {
   const auto member =
       std::find_if(members().begin(), members().end(),
                    [&](const PeerIdentity& one) { return one.incarnation == question.to; });
--- a/src/core/membership/message_codec.cc
+++ b/src/core/membership/message_codec.cc
@@ -67,7 +67,7 @@
     Require(key <= ownership::kLastKey, "loads: key ", key, " exceeds the last key ",
             ownership::kLastKey);
   }
-  for (const uint32_t key : load.denied_keys) {
+  for (const uint32_t key : load.rejected_keys) {
     Require(key <= ownership::kLastKey, "loads: denied key ", key, " exceeds the last key ",
             ownership::kLastKey);
   }
--- a/src/core/membership/messages.h
+++ b/src/core/membership/messages.h
@@ -44,13 +44,13 @@
   std::vector<uint8_t> includes_wait;
   /// The share of the sender's back ends that this report covers.
   double reported_share = 1;
-  std::vector<uint32_t> denied_keys;
+  std::vector<uint32_t> rejected_keys;
   /// Back ends that declined requests although they had free slots, and for how long the sender
   /// sends none to each, in milliseconds.
   std::vector<std::string> declined_by;
   std::vector<uint32_t> backoff_ms;
   MSGPACK_DEFINE_ARRAY(service, keys, counts, backends, answers, busy_us, includes_wait,
-                       reported_share, denied_keys, declined_by, backoff_ms);
+                       reported_share, rejected_keys, declined_by, backoff_ms);
 };
 
 /// Value of an age field when the sender does not report the age.
--- a/src/core/membership/snapshot_exchange.cc
+++ b/src/core/membership/snapshot_exchange.cc
@@ -8,7 +8,7 @@
 namespace {
 
 /// Maximum requests to one node for one hint; the node may have ended meanwhile.
-constexpr uint32_t kMaxQuestionsPerHint = 3;
+constexpr uint32_t kMaxRequestsPerHint = 3;
 
 std::vector<SharedRow> SharedRows(const store::TableFollower& follower) {
   std::vector<SharedRow> rows;
@@ -91,9 +91,9 @@
 bool SnapshotExchange::OnSnapshot(const Snapshot& snapshot, Time now) {
   // The age counts from the send of the request: counted from the arrival, changes in a late answer
   // would appear more recent than they are.
-  const std::optional<SentReport> question = questions_.Take(snapshot.answered_request);
-  const Time confirmed = question.has_value() ? question->sent - absl::Milliseconds(snapshot.age_ms)
-                                              : absl::InfinitePast();
+  const std::optional<SentReport> request = requests_.Take(snapshot.answered_request);
+  const Time confirmed = request.has_value() ? request->sent - absl::Milliseconds(snapshot.age_ms)
+                                             : absl::InfinitePast();
   const bool configuration_changed = MergeInto(configuration_, snapshot.configuration,
                                                snapshot.configuration_version, confirmed, now);
   const bool backends_changed =
@@ -104,28 +104,28 @@
   return configuration_changed || backends_changed;
 }
 
-std::optional<SnapshotExchange::Question> SnapshotExchange::Poll(
+std::optional<SnapshotExchange::OutgoingRequest> SnapshotExchange::Poll(
     const std::vector<Destination>& others, Time now) {
   if (now < NextWake()) {
     return std::nullopt;
   }
   const bool hinted = HintIsOpen() && now >= hint_->received_at + settings_.hint_delay;
   if (hinted) {
-    ++hint_->questions;
-    next_question_ = now + settings_.shortest_interval;
-    return Question{hint_->from, NewRequest(now)};
+    ++hint_->requests;
+    next_request_ = now + settings_.shortest_interval;
+    return OutgoingRequest{hint_->from, NewRequest(now)};
   }
-  if (now - next_question_ > settings_.longest_interval) {
+  if (now - next_request_ > settings_.longest_interval) {
     interval_ = settings_.shortest_interval;
   }
-  next_question_ = now + interval_;
+  next_request_ = now + interval_;
   if (others.empty()) {
     return std::nullopt;
   }
   const bool known = configuration_->known() && backends_->known();
   interval_ =
       known ? std::min(interval_ * 2, settings_.longest_interval) : settings_.shortest_interval;
-  return Question{others[turn_++ % others.size()], NewRequest(now)};
+  return OutgoingRequest{others[turn_++ % others.size()], NewRequest(now)};
 }
 
 Time SnapshotExchange::NextWake() const {
@@ -133,11 +133,11 @@
   if (HintIsOpen()) {
     due = std::min(due, hint_->received_at + settings_.hint_delay);
   }
-  return std::max(due, next_question_);
+  return std::max(due, next_request_);
 }
 
 bool SnapshotExchange::HintIsOpen() const {
-  return hint_.has_value() && hint_->questions < kMaxQuestionsPerHint &&
+  return hint_.has_value() && hint_->requests < kMaxRequestsPerHint &&
          (hint_->versions.configuration > configuration_->as_of() ||
           hint_->versions.backends > backends_->as_of());
 }
@@ -151,7 +151,7 @@
 }
 
 SnapshotRequest SnapshotExchange::NewRequest(Time now) {
-  return {configuration_->as_of(), backends_->as_of(), questions_.Add(/*holder=*/0, now)};
+  return {configuration_->as_of(), backends_->as_of(), requests_.Add(/*holder=*/0, now)};
 }
 
 }  // namespace ladderstream::membership
--- a/src/core/membership/snapshot_exchange.h
+++ b/src/core/membership/snapshot_exchange.h
@@ -45,13 +45,13 @@
   /// Merges another node's rows. Returns whether a copy changed.
   bool OnSnapshot(const Snapshot& snapshot, Time now);
 
-  struct Question {
+  struct OutgoingRequest {
     Destination to;
     SnapshotRequest request;
   };
   /// Returns the request to send now, if one is due: to the node that reported newer versions, else
   /// to one of `others` in turn.
-  std::optional<Question> Poll(const std::vector<Destination>& others, Time now);
+  std::optional<OutgoingRequest> Poll(const std::vector<Destination>& others, Time now);
   /// Returns when Poll is due next; infinite future when nothing is missing.
   Time NextWake() const;
 
@@ -61,7 +61,7 @@
     Destination from;
     HeldVersions versions;
     Time received_at;
-    uint32_t questions = 0;
+    uint32_t requests = 0;
   };
 
   bool HintIsOpen() const;
@@ -75,8 +75,8 @@
   store::TableFollower* backends_;
   std::mt19937_64 random_;
   std::optional<Hint> hint_;
-  SentReports questions_;
-  Time next_question_ = absl::InfinitePast();
+  SentReports requests_;
+  Time next_request_ = absl::InfinitePast();
   Duration interval_;
   /// Round-robin position among the others; starts at random so that nodes ask different ones.
   uint64_t turn_;
--- a/src/node/control_plane_actions.cc
+++ b/src/node/control_plane_actions.cc
@@ -98,7 +98,7 @@
 
 void ControlPlane::AskPermits(const std::vector<allowance::PermitQuestion>& questions) {
   for (const allowance::PermitQuestion& question : questions) {
-    membership_.SendPermitQuestion(question);
+    membership_.SendPermitRequest(question);
   }
   PumpSoon();
 }
--- a/src/node/load_exchange.cc
+++ b/src/node/load_exchange.cc
@@ -25,7 +25,7 @@
     report.includes_wait.push_back(sample.includes_wait ? 1 : 0);
   }
   if (load.denied_key) {
-    report.denied_keys.push_back(*load.denied_key);
+    report.rejected_keys.push_back(*load.denied_key);
   }
   for (const load::Declined& declined : load.declined) {
     report.declined_by.push_back(declined.backend);
@@ -84,7 +84,7 @@
       coordinator->OnOwnerDeclined(report.service, report.declined_by[i],
                                    absl::Milliseconds(report.backoff_ms[i]), now);
     }
-    for (const uint32_t key : report.denied_keys) {
+    for (const uint32_t key : report.rejected_keys) {
       coordinator->OnOwnerDenied(report.service, key, now);
     }
   }
--- a/tests/unit/membership/message_codec_test.cc
+++ b/tests/unit/membership/message_codec_test.cc
@@ -121,7 +121,7 @@
   report.loads.front().counts.front() = std::numeric_limits<float>::quiet_NaN();
   BOOST_TEST(IsMalformed(report));
   report = ValidReport();
-  report.loads.front().denied_keys = {ownership::kLastKey + 1};
+  report.loads.front().rejected_keys = {ownership::kLastKey + 1};
   BOOST_TEST(IsMalformed(report));
 }
 
@@ -187,7 +187,7 @@
   Report report = ValidReport();
   report.loads.assign(9, LoadReport{});
   for (LoadReport& load : report.loads) {
-    load.denied_keys.assign(ownership::kLastKey + 1, 7);
+    load.rejected_keys.assign(ownership::kLastKey + 1, 7);
   }
   BOOST_TEST(IsMalformed(report));
   report.loads.resize(1);
--- a/tests/unit/membership/snapshot_test.cc
+++ b/tests/unit/membership/snapshot_test.cc
@@ -44,10 +44,10 @@
   const Time later = kStart + absl::Milliseconds(301);
   RefuseUntil(requester, later, later);
   requester.membership.OnTick(later);
-  const auto questions = requester.TakeSent<SnapshotRequest>();
-  BOOST_REQUIRE(questions.size() == 1);
-  BOOST_TEST((questions.front().first == std::vector<Destination>{{kSeed, 0}}));
-  helper.membership.OnMessage(kConnection, questions.front().second, later);
+  const auto requests = requester.TakeSent<SnapshotRequest>();
+  BOOST_REQUIRE(requests.size() == 1);
+  BOOST_TEST((requests.front().first == std::vector<Destination>{{kSeed, 0}}));
+  helper.membership.OnMessage(kConnection, requests.front().second, later);
   const auto answers = helper.TakeSent<Snapshot>();
   BOOST_REQUIRE(answers.size() == 1);
   BOOST_TEST(answers.front().first.front().connection == kConnection);
@@ -66,20 +66,20 @@
   Node requester(1);
   Node helper(2);
   helper.LoadTables({{"config", "r12", 40}}, {{"i-1", "ready", 50}}, 60, kStart);
-  const Time asked = kStart + absl::Milliseconds(301);
-  RefuseUntil(requester, kStart, asked);
-  requester.membership.OnTick(asked);
-  const auto questions = requester.TakeSent<SnapshotRequest>();
-  BOOST_REQUIRE(questions.size() == 1);
-  helper.membership.OnMessage(kConnection, questions.front().second, asked);
+  const Time sent_at = kStart + absl::Milliseconds(301);
+  RefuseUntil(requester, kStart, sent_at);
+  requester.membership.OnTick(sent_at);
+  const auto requests = requester.TakeSent<SnapshotRequest>();
+  BOOST_REQUIRE(requests.size() == 1);
+  helper.membership.OnMessage(kConnection, requests.front().second, sent_at);
   const Snapshot answer = helper.TakeSent<Snapshot>().front().second;
-  requester.membership.OnMessage(kConnection, answer, asked + absl::Seconds(2));
+  requester.membership.OnMessage(kConnection, answer, sent_at + absl::Seconds(2));
   BOOST_TEST((requester.backends.last_confirmed() == kStart));
   // This snapshot answers no request, so its creation time is unknown.
   Snapshot unsolicited = answer;
   unsolicited.backends_version = 70;
   unsolicited.age_ms = 0;
-  requester.membership.OnMessage(kConnection, unsolicited, asked + absl::Seconds(3));
+  requester.membership.OnMessage(kConnection, unsolicited, sent_at + absl::Seconds(3));
   BOOST_TEST(requester.backends.as_of() == 70);
   BOOST_TEST((requester.backends.last_confirmed() == kStart));
 }
@@ -87,7 +87,7 @@
 BOOST_AUTO_TEST_CASE(SnapshotRequestsAreSpreadOverMembers) {
   Node requester(1);
   requester.membership.OnMessage(kConnection, MemberList({2, 3, 4}), kStart);
-  std::set<std::string> asked;
+  std::set<std::string> requested_hosts;
   Time last = absl::InfinitePast();
   for (Time now = kStart; now < kStart + absl::Seconds(2); now += absl::Milliseconds(10)) {
     RefuseUntil(requester, now, now);
@@ -95,11 +95,12 @@
     for (const auto& [to, request] : requester.TakeSent<SnapshotRequest>()) {
       BOOST_TEST(now - last >= absl::Milliseconds(250));
       last = now;
-      asked.insert(to.front().address.host);
+      requested_hosts.insert(to.front().address.host);
     }
   }
-  BOOST_TEST(asked == (std::set<std::string>{"10.0.0.2", "10.0.0.3", "10.0.0.4", kSeed.host}),
-             boost::test_tools::per_element());
+  BOOST_TEST(
+      requested_hosts == (std::set<std::string>{"10.0.0.2", "10.0.0.3", "10.0.0.4", kSeed.host}),
+      boost::test_tools::per_element());
 }
 
 BOOST_AUTO_TEST_CASE(SnapshotIsEmptyWhenNothingIsNewer) {
@@ -138,9 +139,9 @@
   const Time due = kStart + absl::Milliseconds(150);
   BOOST_TEST((node.membership.NextWake() <= due));
   node.membership.OnTick(due);
-  const auto questions = node.TakeSent<SnapshotRequest>();
-  BOOST_REQUIRE(questions.size() == 1);
-  BOOST_TEST(questions.front().first.front().connection == kConnection);
+  const auto requests = node.TakeSent<SnapshotRequest>();
+  BOOST_REQUIRE(requests.size() == 1);
+  BOOST_TEST(requests.front().first.front().connection == kConnection);
   BOOST_TEST((node.configuration.NextWake() == kStart + absl::Seconds(1)));
 
   Snapshot answer;
--- a/tests/unit/membership/table_relay_test.cc
+++ b/tests/unit/membership/table_relay_test.cc
@@ -318,9 +318,9 @@
   membership.OnTick(kStart + absl::Seconds(4));
   membership.TakeActions();
   membership.OnTick(kStart + absl::Milliseconds(4450));
-  const auto signs = pair.coordinator.TakeSent<Heartbeat>();
-  BOOST_REQUIRE(signs.size() == 1);
-  BOOST_TEST(signs.front().second.tables.size() == 2);
+  const auto keep_alives = pair.coordinator.TakeSent<Heartbeat>();
+  BOOST_REQUIRE(keep_alives.size() == 1);
+  BOOST_TEST(keep_alives.front().second.tables.size() == 2);
 }
 
 /// Guards against nodes that choose themselves as standbys: at the start of 295 nodes, while the
