--- a/src/core/membership/message_codec.cc
+++ b/src/core/membership/message_codec.cc
@@ -68,7 +68,7 @@
             ownership::kLastKey);
   }
   for (const uint32_t key : load.rejected_keys) {
-    Require(key <= ownership::kLastKey, "loads: denied key ", key, " exceeds the last key ",
+    Require(key <= ownership::kLastKey, "loads: rejected key ", key, " exceeds the last key ",
             ownership::kLastKey);
   }
   for (const float count : load.counts) {
--- a/src/core/membership/messages.h
+++ b/src/core/membership/messages.h
@@ -44,6 +44,7 @@
   std::vector<uint8_t> includes_wait;
   /// The share of the sender's back ends that this report covers.
   double reported_share = 1;
+  /// Keys of requests that the addressed back end rejected because it does not own them.
   std::vector<uint32_t> rejected_keys;
   /// Back ends that declined requests although they had free slots, and for how long the sender
   /// sends none to each, in milliseconds.
