--- a/src/core/membership/membership.cc
+++ b/src/core/membership/membership.cc
@@ -10,18 +10,18 @@
 namespace ladderstream::membership {
 namespace {
 
-/// How often the coordinator looks for silent members.
+/// How often the coordinator checks for members that stopped reporting.
 constexpr Duration kRefreshInterval = absl::Milliseconds(500);
 
-/// At least so long after a report before a lost connection, or news, brings the next one.
+/// Minimum pause after a report before a lost connection or an update triggers the next one.
 constexpr Duration kShortestReportPause = absl::Milliseconds(50);
 
-/// Reports of many nodes must not fall into step: their interval varies by this share, downwards.
+/// Report intervals are shortened by up to this share, so that nodes do not report in step.
 constexpr double kReportJitter = 0.1;
 constexpr uint64_t kJitterSteps = 1024;
 
-/// Where nodes report more rarely than this many shortest intervals, the coordinator shows them in
-/// between that it is alive.
+/// In multiples of the shortest report interval. Where nodes report less often, the coordinator
+/// sends keep-alive heartbeats in between.
 constexpr double kLongestHeartbeatGap = 1.5;
 
 }  // namespace
@@ -43,8 +43,8 @@
 
 void Membership::Handle(const Destination& from, Report report, Time now) {
   const std::optional<PeerIdentity> sender = members_.OnReport(report.sender, from.connection, now);
-  HearSuspects(report.suspects, now);
-  HearLimits(report.limits, now);
+  ReceiveSuspects(report.suspects, now);
+  ReceiveLimits(report.limits, now);
   Heartbeat answer = NewHeartbeat(now);
   answer.answered_report = report.sequence;
   answer.identity_wanted = !sender.has_value();
@@ -55,7 +55,7 @@
   }
   AddCopies(report, back, now, &answer);
   Send({back}, std::move(answer));
-  snapshots_.OnVersionsHeard(back, {report.configuration_version, report.backends_version}, now);
+  snapshots_.OnVersionsReceived(back, {report.configuration_version, report.backends_version}, now);
   if (!report.loads.empty() || !report.refused_backends.empty()) {
     actions_.emplace_back(ReportReceivedAction{std::move(report.sender), std::move(report.loads),
                                                std::move(report.refused_backends)});
@@ -65,10 +65,10 @@
 void Membership::AddCopies(const Report& report, const Destination& back, Time now,
                            Heartbeat* answer) {
   const bool leads = IsCoordinator(now);
-  const bool whole = members_.NeedsWhole(report.members_version) ||
-                     (leads && maps_.NeedsWhole(report.map_version));
-  // Who does not coordinate has a list for whoever comes; that costs it no lease.
-  if (leads && whole && !whole_copies_.Grant(back, now)) {
+  const bool needs_full =
+      members_.NeedsFull(report.members_version) || (leads && maps_.NeedsFull(report.map_version));
+  // A node that does not coordinate always includes its list: it has no lease to lose by the cost.
+  if (leads && needs_full && !full_copies_.Grant(back, now)) {
     return;
   }
   if (leads) {
@@ -77,32 +77,32 @@
   members_.AddTo(report.members_version, answer);
 }
 
-void Membership::SendWholeCopies(Time now) {
-  if (!whole_copies_.Due(now)) {
+void Membership::SendFullCopies(Time now) {
+  if (!full_copies_.Due(now)) {
     return;
   }
   Heartbeat heartbeat = NewHeartbeat(now);
   maps_.AddTo({}, &heartbeat);
   members_.AddTo(0, &heartbeat);
   relay_.AddAsPushed(now, &heartbeat);
-  Send(whole_copies_.Take(now), std::move(heartbeat));
+  Send(full_copies_.Take(now), std::move(heartbeat));
 }
 
 void Membership::Handle(const Destination& from, Heartbeat heartbeat, Time now) {
   const std::optional<SentReport> report = sent_reports_.Take(heartbeat.answered_report);
-  HearSuspects(heartbeat.suspects, now);
-  HearLimits(heartbeat.limits, now);
+  ReceiveSuspects(heartbeat.suspects, now);
+  ReceiveLimits(heartbeat.limits, now);
   if (relay_.TakeRows(heartbeat, now)) {
     actions_.emplace_back(TablesMergedAction{});
   }
-  snapshots_.OnVersionsHeard(from, {heartbeat.configuration_version, heartbeat.backends_version},
-                             now);
+  snapshots_.OnVersionsReceived(from, {heartbeat.configuration_version, heartbeat.backends_version},
+                                now);
   if (report.has_value() && report->holder != 0 && report->holder != heartbeat.sender) {
-    // Another process answers at the coordinator's address: the coordinator's has ended.
+    // Another process answers at the coordinator's address, so the coordinator's has ended.
     actions_.emplace_back(CoordinatorEndedAction{report->holder});
   }
   const bool own_lease = heartbeat.lease.incarnation == self_.incarnation;
-  if (heartbeat.lease.epoch == 0 || own_lease || !LearnHolder(heartbeat.lease, now)) {
+  if (heartbeat.lease.epoch == 0 || own_lease || !UpdateHolder(heartbeat.lease, now)) {
     return;
   }
   if (report.has_value() && report->holder == heartbeat.sender) {
@@ -114,21 +114,21 @@
   if (heartbeat.sender != heartbeat.lease.incarnation || heartbeat.lease_left_ms == 0) {
     return;
   }
-  HearCoordinator(heartbeat, report, now);
+  HandleCoordinatorHeartbeat(heartbeat, report, now);
 }
 
-void Membership::HearCoordinator(Heartbeat& heartbeat, const std::optional<SentReport>& report,
-                                 Time now) {
-  last_heard_ = now;
-  actions_.emplace_back(HeartbeatHeardAction{heartbeat.lease});
-  if (maps_.TakeOf(heartbeat)) {
+void Membership::HandleCoordinatorHeartbeat(Heartbeat& heartbeat,
+                                            const std::optional<SentReport>& report, Time now) {
+  last_heartbeat_ = now;
+  actions_.emplace_back(HeartbeatReceivedAction{heartbeat.lease});
+  if (maps_.TakeFrom(heartbeat)) {
     actions_.emplace_back(MapChangedAction{maps_.map()});
   }
   ConfirmBy(heartbeat, report, now);
   ConfirmMembersBy(heartbeat, report);
   const bool pushed = heartbeat.answered_report == 0;
   if (pushed || report.has_value()) {
-    relay_.OnCoordinatorHeard(heartbeat, pushed ? now : report->sent, !pushed, now);
+    relay_.OnCoordinatorHeartbeat(heartbeat, pushed ? now : report->sent, !pushed, now);
   }
 }
 
@@ -164,23 +164,23 @@
 void Membership::OnConnectionLost(const Endpoint& address, Time now) {
   const bool of_holder = holder_.has_value() && holder_->peer_address == address;
   if (of_holder) {
-    // A report at once shows whether anybody still listens there.
+    // An immediate report shows whether a process still listens there.
     ReportSoon(now);
   }
 }
 
 void Membership::OnHolderKnown(const ownership::LeaseView& lease, Time now) {
-  LearnHolder(lease, now);
+  UpdateHolder(lease, now);
 }
 
-bool Membership::LearnHolder(const ownership::LeaseView& lease, Time now) {
+bool Membership::UpdateHolder(const ownership::LeaseView& lease, Time now) {
   if (holder_.has_value() && lease.epoch < holder_->epoch) {
     return false;
   }
   if (!holder_.has_value() || lease.epoch > holder_->epoch) {
     holder_ = lease;
     suspects_.OnNewHolder(now);
-    // All nodes learn it at much the same time; their first reports are spread a little.
+    // All nodes learn of the new holder at about the same time; spread their first reports.
     next_report_ = now + ReportSpread() * RandomShare();
     if (lease.incarnation != self_.incarnation) {
       EndLeading();
@@ -196,22 +196,22 @@
 
 void Membership::OnLeaseHeld(const ownership::LeaseView& lease, Time until, Time now) {
   const bool took_over = !IsCoordinator(now);
-  if (!LearnHolder(lease, now)) {
+  if (!UpdateHolder(lease, now)) {
     return;
   }
   lease_until_ = until;
   actions_.emplace_back(MembersConfirmedAction{until - settings_.members_lease_reserve});
-  // As long as the nodes that it confirms the map to last.
+  // The same limit as on nodes whose map it confirms at the end of its lease.
   SetConfirmed(until + settings_.confirmation - settings_.confirmation_margin);
   if (took_over) {
     relay_.OnLeading(true);
-    // The predecessor brought the others to this list.
+    // The predecessor brought the other nodes to this list.
     pushed_members_ = members_.version();
     members_.TakeOver(lease.epoch, now);
-    // A node that is alone has no other cause to tell of its list, which is now the one in force.
+    // A single node has no other occasion to publish its list, which is now the authoritative one.
     actions_.emplace_back(MembersChangedAction{static_cast<uint32_t>(members().size())});
     next_refresh_ = now + kRefreshInterval;
-    next_sign_of_life_ = now + LongestHeartbeatGap();
+    next_keep_alive_ = now + LongestHeartbeatGap();
     PushHeartbeat(now);
   }
 }
@@ -219,7 +219,7 @@
 void Membership::EndLeading() {
   if (lease_until_ != absl::InfinitePast()) {
     lease_until_ = absl::InfinitePast();
-    whole_copies_.Clear();
+    full_copies_.Clear();
     relay_.OnLeading(false);
   }
 }
@@ -252,10 +252,10 @@
 void Membership::ConfirmBy(const Heartbeat& heartbeat, const std::optional<SentReport>& report,
                            Time now) {
   if (maps_.version() < heartbeat.map_version) {
-    // A newer map exists that did not come along. The held one is confirmed no longer than it was,
-    // and may be used until then: whoever lets a silent owner's keys move waits for that
-    // (WaitOutEnd), and any other owner answers that it does not hold the key.
-    // A lost push is lost to many nodes alike: their reports are spread a little.
+    // A newer map exists but is not in this heartbeat. The confirmation of the held map is not
+    // extended, and the map may be used until it ends: a coordinator that moves the keys of an
+    // unresponsive owner waits for that (WaitOutEnd), and any other owner answers that it does not
+    // hold the key. A lost push usually affects many nodes at once, so their reports are spread.
     next_report_ = std::min(next_report_, now + ReportSpread() * RandomShare());
     return;
   }
@@ -266,11 +266,12 @@
   if (!pushed && !report.has_value()) {
     return;
   }
-  // An answer was made after its report was sent, however long it was on the way.
+  // An answer was created after its report was sent, however long it took to arrive.
   const Time made = pushed ? now : report->sent;
   const Duration span = pushed ? settings_.pushed_confirmation : settings_.confirmation;
-  // This may reach beyond the end of the sender's lease: a successor lets a silent owner's keys
-  // move only when no map that was confirmed before that end is in use any more (WaitOutEnd).
+  // This may extend beyond the end of the sender's lease: a successor moves the keys of an
+  // unresponsive owner only when no map that was confirmed before that end is still in use
+  // (WaitOutEnd).
   const Time until = made + span - settings_.confirmation_margin;
   if (until > confirmed_until_) {
     SetConfirmed(until);
@@ -287,7 +288,7 @@
 
 void Membership::ConfirmMembersBy(const Heartbeat& heartbeat,
                                   const std::optional<SentReport>& report) {
-  // When a push was made is not known.
+  // A push confirms nothing because its creation time is not known.
   const Duration lease_left = absl::Milliseconds(heartbeat.lease_left_ms);
   if (report.has_value() && heartbeat.members_version == members_.version() &&
       lease_left > settings_.members_lease_reserve) {
@@ -320,15 +321,15 @@
   }
   Report report = NewReport(holder_->incarnation, now);
   for (LoadReport& load : loads) {
-    SampleLoad(MostReportedCounts(), RandomShare(), &load);
+    SampleLoad(MaxReportedCounts(), RandomShare(), &load);
   }
   report.loads = std::move(loads);
   report.refused_backends = std::move(refused_backends);
   Send({members_.At(holder_->peer_address)}, std::move(report));
 }
 
-size_t Membership::MostReportedCounts() const {
-  return std::max(settings_.fewest_reported_counts,
+size_t Membership::MaxReportedCounts() const {
+  return std::max(settings_.min_reported_counts,
                   settings_.reported_counts / std::max<size_t>(1, members().size()));
 }
 
@@ -380,18 +381,18 @@
 }
 
 void Membership::OnTick(Time now) {
-  AskForSnapshot(now);
+  RequestSnapshot(now);
   if (lease_until_ != absl::InfinitePast() && !IsCoordinator(now)) {
     OnLeaseLost(now);
   }
   if (IsCoordinator(now)) {
-    push_wanted_ = push_wanted_ || relay_.HasNews();
+    push_wanted_ = push_wanted_ || relay_.HasUpdates();
     if (push_wanted_ && now >= next_push_) {
       PushHeartbeat(now);
     }
-    SendWholeCopies(now);
-    if (now >= next_sign_of_life_) {
-      ShowAlive(now);
+    SendFullCopies(now);
+    if (now >= next_keep_alive_) {
+      SendKeepAlive(now);
     }
     if (now >= next_refresh_) {
       next_refresh_ = now + kRefreshInterval;
@@ -409,7 +410,7 @@
   if (other_holds) {
     actions_.emplace_back(ReportDueAction{});
   }
-  if (!other_holds || now - last_heard_ > settings_.silence) {
+  if (!other_holds || now - last_heartbeat_ > settings_.coordinator_timeout) {
     SeekCoordinator(now);
   }
 }
@@ -419,17 +420,18 @@
     return std::min(next_report_, snapshots_.NextWake());
   }
   const Time next_push = push_wanted_ ? next_push_ : absl::InfiniteFuture();
-  return std::min({lease_until_, next_push, next_sign_of_life_, next_refresh_,
-                   whole_copies_.NextWake(), snapshots_.NextWake()});
+  return std::min({lease_until_, next_push, next_keep_alive_, next_refresh_,
+                   full_copies_.NextWake(), snapshots_.NextWake()});
 }
 
-void Membership::ShowAlive(Time now) {
-  next_sign_of_life_ = now + LongestHeartbeatGap();
+void Membership::SendKeepAlive(Time now) {
+  next_keep_alive_ = now + LongestHeartbeatGap();
   if (ReportInterval() <= LongestHeartbeatGap()) {
     return;
   }
   if (push_wanted_) {
-    // A bare heartbeat would tell all nodes of a map without which they cannot confirm theirs.
+    // A heartbeat without the new map would name its version to all nodes, which then could not
+    // confirm the map they hold.
     PushHeartbeat(now);
   } else {
     Heartbeat heartbeat = NewHeartbeat(now);
@@ -438,13 +440,13 @@
   }
 }
 
-void Membership::AskForSnapshot(Time now) {
+void Membership::RequestSnapshot(Time now) {
   if (now < snapshots_.NextWake()) {
     return;
   }
-  const auto question = snapshots_.Poll(OthersAndSeeds(), now);
-  if (question.has_value()) {
-    Send({question->to}, question->request);
+  const auto request = snapshots_.Poll(OthersAndSeeds(), now);
+  if (request.has_value()) {
+    Send({request->to}, request->request);
   }
 }
 
--- a/src/core/membership/snapshot_exchange.cc
+++ b/src/core/membership/snapshot_exchange.cc
@@ -7,8 +7,8 @@
 namespace ladderstream::membership {
 namespace {
 
-/// Questions to one node about one hint; it may have ended meanwhile.
-constexpr uint32_t kMostQuestionsPerHint = 3;
+/// Maximum requests to one node for one hint; the node may have ended meanwhile.
+constexpr uint32_t kMaxRequestsPerHint = 3;
 
 std::vector<SharedRow> SharedRows(const store::TableFollower& follower) {
   std::vector<SharedRow> rows;
@@ -34,9 +34,9 @@
 }
 
 uint32_t Milliseconds(Duration duration) {
-  constexpr int64_t kMost = std::numeric_limits<uint32_t>::max();
+  constexpr int64_t kMax = std::numeric_limits<uint32_t>::max();
   return static_cast<uint32_t>(
-      std::clamp<int64_t>(absl::ToInt64Milliseconds(duration), int64_t{0}, kMost));
+      std::clamp<int64_t>(absl::ToInt64Milliseconds(duration), int64_t{0}, kMax));
 }
 
 }  // namespace
@@ -55,17 +55,17 @@
   return {configuration_->content_version(), backends_->content_version()};
 }
 
-void SnapshotExchange::OnVersionsHeard(const Destination& from, const HeldVersions& heard,
-                                       Time now) {
+void SnapshotExchange::OnVersionsReceived(const Destination& from, const HeldVersions& versions,
+                                          Time now) {
   const bool newer =
-      heard.configuration > configuration_->as_of() || heard.backends > backends_->as_of();
+      versions.configuration > configuration_->as_of() || versions.backends > backends_->as_of();
   if (!newer) {
     return;
   }
-  configuration_->ExpectVersion(heard.configuration, now);
-  backends_->ExpectVersion(heard.backends, now);
+  configuration_->ExpectVersion(versions.configuration, now);
+  backends_->ExpectVersion(versions.backends, now);
   if (!HintIsOpen()) {
-    hint_ = Hint{from, heard, now, 0};
+    hint_ = Hint{from, versions, now, 0};
   }
 }
 
@@ -89,10 +89,11 @@
 }
 
 bool SnapshotExchange::OnSnapshot(const Snapshot& snapshot, Time now) {
-  // Taken as made at its arrival, a late answer would let changes seem younger than they are.
-  const std::optional<SentReport> question = questions_.Take(snapshot.answered_request);
-  const Time confirmed = question.has_value() ? question->sent - absl::Milliseconds(snapshot.age_ms)
-                                              : absl::InfinitePast();
+  // The age counts from the send of the request: counted from the arrival, changes in a late answer
+  // would appear more recent than they are.
+  const std::optional<SentReport> request = requests_.Take(snapshot.answered_request);
+  const Time confirmed = request.has_value() ? request->sent - absl::Milliseconds(snapshot.age_ms)
+                                             : absl::InfinitePast();
   const bool configuration_changed = MergeInto(configuration_, snapshot.configuration,
                                                snapshot.configuration_version, confirmed, now);
   const bool backends_changed =
@@ -103,54 +104,54 @@
   return configuration_changed || backends_changed;
 }
 
-std::optional<SnapshotExchange::Question> SnapshotExchange::Poll(
+std::optional<SnapshotExchange::OutgoingRequest> SnapshotExchange::Poll(
     const std::vector<Destination>& others, Time now) {
   if (now < NextWake()) {
     return std::nullopt;
   }
-  const bool hinted = HintIsOpen() && now >= hint_->heard + settings_.hint_patience;
+  const bool hinted = HintIsOpen() && now >= hint_->received_at + settings_.hint_delay;
   if (hinted) {
-    ++hint_->questions;
-    next_question_ = now + settings_.shortest_interval;
-    return Question{hint_->from, NewRequest(now)};
+    ++hint_->requests;
+    next_request_ = now + settings_.shortest_interval;
+    return OutgoingRequest{hint_->from, NewRequest(now)};
   }
-  if (now - next_question_ > settings_.longest_interval) {
+  if (now - next_request_ > settings_.longest_interval) {
     interval_ = settings_.shortest_interval;
   }
-  next_question_ = now + interval_;
+  next_request_ = now + interval_;
   if (others.empty()) {
     return std::nullopt;
   }
   const bool known = configuration_->known() && backends_->known();
   interval_ =
       known ? std::min(interval_ * 2, settings_.longest_interval) : settings_.shortest_interval;
-  return Question{others[turn_++ % others.size()], NewRequest(now)};
+  return OutgoingRequest{others[turn_++ % others.size()], NewRequest(now)};
 }
 
 Time SnapshotExchange::NextWake() const {
-  Time due = TurnedAwayAt();
+  Time due = StoreUnresponsiveAt();
   if (HintIsOpen()) {
-    due = std::min(due, hint_->heard + settings_.hint_patience);
+    due = std::min(due, hint_->received_at + settings_.hint_delay);
   }
-  return std::max(due, next_question_);
+  return std::max(due, next_request_);
 }
 
 bool SnapshotExchange::HintIsOpen() const {
-  return hint_.has_value() && hint_->questions < kMostQuestionsPerHint &&
+  return hint_.has_value() && hint_->requests < kMaxRequestsPerHint &&
          (hint_->versions.configuration > configuration_->as_of() ||
           hint_->versions.backends > backends_->as_of());
 }
 
-Time SnapshotExchange::TurnedAwayAt() const {
-  const Time configuration =
-      configuration_->UnansweredSince().value_or(absl::InfiniteFuture()) + settings_.patience;
-  const Time backends =
-      backends_->UnansweredSince().value_or(absl::InfiniteFuture()) + settings_.patience;
+Time SnapshotExchange::StoreUnresponsiveAt() const {
+  const Time configuration = configuration_->UnansweredSince().value_or(absl::InfiniteFuture()) +
+                             settings_.unresponsive_timeout;
+  const Time backends = backends_->UnansweredSince().value_or(absl::InfiniteFuture()) +
+                        settings_.unresponsive_timeout;
   return std::min(configuration, backends);
 }
 
 SnapshotRequest SnapshotExchange::NewRequest(Time now) {
-  return {configuration_->as_of(), backends_->as_of(), questions_.Add(/*holder=*/0, now)};
+  return {configuration_->as_of(), backends_->as_of(), requests_.Add(/*holder=*/0, now)};
 }
 
 }  // namespace ladderstream::membership
--- a/tests/unit/membership/member_table_test.cc
+++ b/tests/unit/membership/member_table_test.cc
@@ -15,7 +15,7 @@
   MemberTable table{MakeIdentity(1), kLifetime, absl::Milliseconds(10)};
 };
 
-BOOST_FIXTURE_TEST_CASE(ASilentMemberLeaves, Fixture) {
+BOOST_FIXTURE_TEST_CASE(UnresponsiveMemberIsRemoved, Fixture) {
   table.OnReport(MakeIdentity(2), 5, kStart);
   table.OnReport(MakeIdentity(3), 6, kStart + absl::Seconds(1));
   BOOST_TEST(table.Refresh(kStart + absl::Seconds(1), kReportInterval));
@@ -27,13 +27,13 @@
   BOOST_TEST(table.version() > version);
 }
 
-BOOST_FIXTURE_TEST_CASE(RareReportsMakeALongerLife, Fixture) {
+BOOST_FIXTURE_TEST_CASE(InfrequentReportsExtendMemberLifetime, Fixture) {
   table.OnReport(MakeIdentity(2), 5, kStart);
   table.Refresh(kStart + absl::Seconds(5), absl::Milliseconds(1500));
   BOOST_TEST(table.members().size() == 2);
 }
 
-BOOST_FIXTURE_TEST_CASE(AnotherRunAtTheAddressReplacesTheFirst, Fixture) {
+BOOST_FIXTURE_TEST_CASE(NewProcessAtSameAddressReplacesTheOld, Fixture) {
   PeerIdentity restarted = MakeIdentity(2);
   restarted.incarnation = 22;
   table.OnReport(MakeIdentity(2), 5, kStart);
@@ -61,7 +61,7 @@
   BOOST_TEST(table.Adopt(MakeMemberList(successor.members(), successor.version()), kStart));
 }
 
-BOOST_FIXTURE_TEST_CASE(ASuccessorGivesEverybodyTimeToReport, Fixture) {
+BOOST_FIXTURE_TEST_CASE(SuccessorGivesMembersFullLifetimeToReport, Fixture) {
   table.Adopt(MakeMemberList({MakeIdentity(1), MakeIdentity(2)}, 9), kStart);
   const Time take_over = kStart + absl::Minutes(1);
   table.TakeOver(5, take_over);
@@ -71,7 +71,7 @@
   BOOST_TEST(table.members().size() == 1);
 }
 
-/// A coordinator's list, and a copy that took the first one whole.
+/// A coordinator's list and a copy that adopted its first full version.
 struct ChangesFixture : Fixture {
   ChangesFixture() {
     table.TakeOver(1, kStart);
@@ -104,7 +104,7 @@
   MemberTable copy{MakeIdentity(3), kLifetime, absl::Milliseconds(10)};
 };
 
-BOOST_FIXTURE_TEST_CASE(ACopyIsSentWhatChangedSinceItsVersion, ChangesFixture) {
+BOOST_FIXTURE_TEST_CASE(CopyReceivesChangesSinceItsVersion, ChangesFixture) {
   Join(4);
   Publish();
   PeerIdentity restarted = MakeIdentity(2);
@@ -120,7 +120,7 @@
   BOOST_TEST(Listed(copy) == (std::set<uint64_t>{1, 3, 4, 20}), boost::test_tools::per_element());
 }
 
-BOOST_FIXTURE_TEST_CASE(ChangesOfAnotherBaseAreNotTaken, ChangesFixture) {
+BOOST_FIXTURE_TEST_CASE(ChangesWithAnotherBaseAreRejected, ChangesFixture) {
   const uint64_t base = table.version();
   Join(4);
   Publish();
@@ -135,7 +135,7 @@
   BOOST_TEST(Listed(copy) == Listed(table), boost::test_tools::per_element());
 }
 
-BOOST_FIXTURE_TEST_CASE(WhoReportedToTheCopyItselfIsNoMember, ChangesFixture) {
+BOOST_FIXTURE_TEST_CASE(ReporterToACopyIsNoMember, ChangesFixture) {
   copy.OnReport(MakeIdentity(9), 9, now);
   PeerIdentity restarted = MakeIdentity(2);
   restarted.incarnation = 20;
@@ -146,14 +146,14 @@
   BOOST_TEST(Listed(copy) == Listed(table), boost::test_tools::per_element());
 }
 
-BOOST_FIXTURE_TEST_CASE(AnUnknownVersionIsSentTheWholeList, ChangesFixture) {
+BOOST_FIXTURE_TEST_CASE(UnknownVersionReceivesFullList, ChangesFixture) {
   BOOST_TEST(Lacking(0).members.size() == 3);
   BOOST_TEST(Lacking(table.version() - 1000).members.size() == 3);
   BOOST_TEST(Lacking(table.version()).members.empty());
   BOOST_TEST(Lacking(table.version()).member_changes.empty());
 }
 
-BOOST_FIXTURE_TEST_CASE(ASuccessorGoesOnFromTheListThatItTookOver, ChangesFixture) {
+BOOST_FIXTURE_TEST_CASE(SuccessorContinuesFromAdoptedList, ChangesFixture) {
   MemberTable successor(MakeIdentity(2), kLifetime, absl::Milliseconds(10));
   successor.Adopt(MakeMemberList(table.members(), table.version()), now);
   successor.TakeOver(2, now);
@@ -165,7 +165,7 @@
   BOOST_TEST(Listed(copy) == Listed(successor), boost::test_tools::per_element());
 }
 
-BOOST_FIXTURE_TEST_CASE(AShortIdentityIsEnoughForAKnownMember, ChangesFixture) {
+BOOST_FIXTURE_TEST_CASE(IncarnationIdentifiesKnownMember, ChangesFixture) {
   PeerIdentity only_incarnation;
   only_incarnation.incarnation = 2;
   const auto known = table.OnReport(only_incarnation, 9, now);
--- a/tests/unit/membership/snapshot_test.cc
+++ b/tests/unit/membership/snapshot_test.cc
@@ -8,7 +8,7 @@
 
 constexpr uint64_t kConnection = 5;
 
-/// Lets the store refuse every call of the node's followers up to `until`.
+/// Refuses every store call of the node's followers up to `until`.
 void RefuseUntil(Node& node, Time from, Time until) {
   store::StoreReply refused;
   refused.status = store::StoreStatus::kRefused;
@@ -33,76 +33,77 @@
   return heartbeat;
 }
 
-BOOST_AUTO_TEST_CASE(ANodeTurnedAwayByTheStoreGetsTheRowsFromAnother) {
-  Node asker(1);
+BOOST_AUTO_TEST_CASE(NodeRejectedByTheStoreFetchesRowsFromAnotherNode) {
+  Node requester(1);
   Node helper(2);
   helper.LoadTables({{"config", "r12", 40}}, {{"i-1", "ready", 50}}, 60, kStart);
-  RefuseUntil(asker, kStart, kStart + absl::Milliseconds(299));
-  asker.membership.OnTick(kStart + absl::Milliseconds(299));
-  BOOST_TEST(asker.TakeSent<SnapshotRequest>().empty());
+  RefuseUntil(requester, kStart, kStart + absl::Milliseconds(299));
+  requester.membership.OnTick(kStart + absl::Milliseconds(299));
+  BOOST_TEST(requester.TakeSent<SnapshotRequest>().empty());
 
   const Time later = kStart + absl::Milliseconds(301);
-  RefuseUntil(asker, later, later);
-  asker.membership.OnTick(later);
-  const auto questions = asker.TakeSent<SnapshotRequest>();
-  BOOST_REQUIRE(questions.size() == 1);
-  BOOST_TEST((questions.front().first == std::vector<Destination>{{kSeed, 0}}));
-  helper.membership.OnMessage(kConnection, questions.front().second, later);
+  RefuseUntil(requester, later, later);
+  requester.membership.OnTick(later);
+  const auto requests = requester.TakeSent<SnapshotRequest>();
+  BOOST_REQUIRE(requests.size() == 1);
+  BOOST_TEST((requests.front().first == std::vector<Destination>{{kSeed, 0}}));
+  helper.membership.OnMessage(kConnection, requests.front().second, later);
   const auto answers = helper.TakeSent<Snapshot>();
   BOOST_REQUIRE(answers.size() == 1);
   BOOST_TEST(answers.front().first.front().connection == kConnection);
   BOOST_TEST(answers.front().second.age_ms == 301);
 
-  asker.membership.OnMessage(kConnection, answers.front().second, later);
-  BOOST_TEST(asker.Take<TablesMergedAction>().size() == 1);
-  BOOST_TEST(asker.configuration.rows().at("config").value == "r12");
-  BOOST_TEST(asker.backends.rows().at("i-1").version == 50);
-  BOOST_TEST((asker.backends.last_confirmed() == kStart));
-  BOOST_TEST(asker.backends.Troubled(later));
+  requester.membership.OnMessage(kConnection, answers.front().second, later);
+  BOOST_TEST(requester.Take<TablesMergedAction>().size() == 1);
+  BOOST_TEST(requester.configuration.rows().at("config").value == "r12");
+  BOOST_TEST(requester.backends.rows().at("i-1").version == 50);
+  BOOST_TEST((requester.backends.last_confirmed() == kStart));
+  BOOST_TEST(requester.backends.RecentlyFailed(later));
 }
 
-BOOST_AUTO_TEST_CASE(ALateSnapshotConfirmsFromItsQuestionsSend) {
-  // What the copies lack may have changed while the answer was on its way.
-  Node asker(1);
+BOOST_AUTO_TEST_CASE(LateSnapshotConfirmsFromSendTimeOfItsRequest) {
+  // The table may have changed while the answer was in transit.
+  Node requester(1);
   Node helper(2);
   helper.LoadTables({{"config", "r12", 40}}, {{"i-1", "ready", 50}}, 60, kStart);
-  const Time asked = kStart + absl::Milliseconds(301);
-  RefuseUntil(asker, kStart, asked);
-  asker.membership.OnTick(asked);
-  const auto questions = asker.TakeSent<SnapshotRequest>();
-  BOOST_REQUIRE(questions.size() == 1);
-  helper.membership.OnMessage(kConnection, questions.front().second, asked);
+  const Time sent_at = kStart + absl::Milliseconds(301);
+  RefuseUntil(requester, kStart, sent_at);
+  requester.membership.OnTick(sent_at);
+  const auto requests = requester.TakeSent<SnapshotRequest>();
+  BOOST_REQUIRE(requests.size() == 1);
+  helper.membership.OnMessage(kConnection, requests.front().second, sent_at);
   const Snapshot answer = helper.TakeSent<Snapshot>().front().second;
-  asker.membership.OnMessage(kConnection, answer, asked + absl::Seconds(2));
-  BOOST_TEST((asker.backends.last_confirmed() == kStart));
-  // Nobody asked for this one: when it was made is not known.
-  Snapshot unasked = answer;
-  unasked.backends_version = 70;
-  unasked.age_ms = 0;
-  asker.membership.OnMessage(kConnection, unasked, asked + absl::Seconds(3));
-  BOOST_TEST(asker.backends.as_of() == 70);
-  BOOST_TEST((asker.backends.last_confirmed() == kStart));
+  requester.membership.OnMessage(kConnection, answer, sent_at + absl::Seconds(2));
+  BOOST_TEST((requester.backends.last_confirmed() == kStart));
+  // This snapshot answers no request, so its creation time is unknown.
+  Snapshot unsolicited = answer;
+  unsolicited.backends_version = 70;
+  unsolicited.age_ms = 0;
+  requester.membership.OnMessage(kConnection, unsolicited, sent_at + absl::Seconds(3));
+  BOOST_TEST(requester.backends.as_of() == 70);
+  BOOST_TEST((requester.backends.last_confirmed() == kStart));
 }
 
-BOOST_AUTO_TEST_CASE(QuestionsAreSpreadOverTheMembers) {
-  Node asker(1);
-  asker.membership.OnMessage(kConnection, MemberList({2, 3, 4}), kStart);
-  std::set<std::string> asked;
+BOOST_AUTO_TEST_CASE(SnapshotRequestsAreSpreadOverMembers) {
+  Node requester(1);
+  requester.membership.OnMessage(kConnection, MemberList({2, 3, 4}), kStart);
+  std::set<std::string> requested_hosts;
   Time last = absl::InfinitePast();
   for (Time now = kStart; now < kStart + absl::Seconds(2); now += absl::Milliseconds(10)) {
-    RefuseUntil(asker, now, now);
-    asker.membership.OnTick(now);
-    for (const auto& [to, request] : asker.TakeSent<SnapshotRequest>()) {
+    RefuseUntil(requester, now, now);
+    requester.membership.OnTick(now);
+    for (const auto& [to, request] : requester.TakeSent<SnapshotRequest>()) {
       BOOST_TEST(now - last >= absl::Milliseconds(250));
       last = now;
-      asked.insert(to.front().address.host);
+      requested_hosts.insert(to.front().address.host);
     }
   }
-  BOOST_TEST(asked == (std::set<std::string>{"10.0.0.2", "10.0.0.3", "10.0.0.4", kSeed.host}),
-             boost::test_tools::per_element());
+  BOOST_TEST(
+      requested_hosts == (std::set<std::string>{"10.0.0.2", "10.0.0.3", "10.0.0.4", kSeed.host}),
+      boost::test_tools::per_element());
 }
 
-BOOST_AUTO_TEST_CASE(NothingIsSentWhenNothingIsNewer) {
+BOOST_AUTO_TEST_CASE(SnapshotIsEmptyWhenNothingIsNewer) {
   Node helper(2);
   helper.LoadTables({{"config", "r12", 40}}, {{"i-1", "ready", 50}}, 60, kStart);
   helper.membership.OnMessage(kConnection, SnapshotRequest{60, 50}, kStart);
@@ -113,7 +114,7 @@
   BOOST_TEST(answers.front().second.configuration_version == 60);
 }
 
-BOOST_AUTO_TEST_CASE(AnOlderSnapshotIsNotTaken) {
+BOOST_AUTO_TEST_CASE(OlderSnapshotIsIgnored) {
   Node node(1);
   node.LoadTables({{"config", "r12", 40}}, {{"i-1", "ready", 50}}, 60, kStart);
   Snapshot older;
@@ -126,10 +127,10 @@
   BOOST_TEST(node.Take<TablesMergedAction>().empty());
 }
 
-BOOST_AUTO_TEST_CASE(AMissedChangeIsFetchedFromWhoeverKnowsIt) {
+BOOST_AUTO_TEST_CASE(MissedChangeIsFetchedFromNodeThatKnowsIt) {
   Node node(1);
   node.LoadTables({{"config", "r12", 40}}, {}, 60, kStart);
-  node.configuration.Poll(kStart);  // the watch from 60 hangs
+  node.configuration.Poll(kStart);  // the watch from 60 stays unanswered
   Heartbeat heartbeat = MemberList({2, 3});
   heartbeat.configuration_version = 70;
   node.membership.OnMessage(kConnection, heartbeat, kStart);
@@ -138,9 +139,9 @@
   const Time due = kStart + absl::Milliseconds(150);
   BOOST_TEST((node.membership.NextWake() <= due));
   node.membership.OnTick(due);
-  const auto questions = node.TakeSent<SnapshotRequest>();
-  BOOST_REQUIRE(questions.size() == 1);
-  BOOST_TEST(questions.front().first.front().connection == kConnection);
+  const auto requests = node.TakeSent<SnapshotRequest>();
+  BOOST_REQUIRE(requests.size() == 1);
+  BOOST_TEST(requests.front().first.front().connection == kConnection);
   BOOST_TEST((node.configuration.NextWake() == kStart + absl::Seconds(1)));
 
   Snapshot answer;
@@ -151,7 +152,7 @@
   BOOST_TEST(node.TakeSent<SnapshotRequest>().empty());
 }
 
-BOOST_AUTO_TEST_CASE(AChangeThatTheOwnWatchBringsIsNotAskedFor) {
+BOOST_AUTO_TEST_CASE(ChangeDeliveredByOwnWatchIsNotRequested) {
   Node node(1);
   node.LoadTables({{"config", "r12", 40}}, {}, 60, kStart);
   const auto watch = node.configuration.Poll(kStart);
--- a/tests/unit/membership/table_relay_test.cc
+++ b/tests/unit/membership/table_relay_test.cc
@@ -12,14 +12,14 @@
 
 bool HoldsNew(const WorldNode& node) { return node.backends.rows().contains("new"); }
 
-/// After this, no watch from the start is still on its way.
+/// Changes both tables, so that no watch from the start is still outstanding.
 void Settle(World* world) {
   world->store.Put("configuration", "config");
   world->store.Put("backends", "first");
   world->Run(absl::Seconds(1));
 }
 
-/// One node's copies of both tables, read and about to be watched.
+/// One node's copies of both tables, which have been read and are due to be watched.
 struct WatchingRelay {
   WatchingRelay() {
     for (store::TableFollower* const follower : {&configuration, &backends}) {
@@ -30,7 +30,7 @@
     now += absl::Seconds(1);
   }
 
-  /// The watches that are due now; they are never answered.
+  /// Sends the watches that are due, without answering them, and returns their calls.
   std::vector<uint64_t> Watch() {
     std::vector<uint64_t> sent;
     for (store::TableFollower* const follower : {&configuration, &backends}) {
@@ -48,7 +48,7 @@
   TableRelay relay{{}, 1, &configuration, &backends};
 };
 
-BOOST_AUTO_TEST_CASE(OnlyTheCoordinatorAndItsStandbysCallTheStore) {
+BOOST_AUTO_TEST_CASE(OnlyCoordinatorAndStandbysCallTheStore) {
   World world(kNodes, {});
   Settle(&world);
   const std::vector<uint64_t> callers = world.Callers([&] {
@@ -72,30 +72,25 @@
   }
 }
 
-// The store was silent for 3.7 s, and so was the coordinator's word, so every node sent watches of
-// its own. The store never answered them, nor did it end their connections, and a watch waits for
-// 20 s. A node took the lease 0.04 s after the store was back and vouched for its copy from then
-// on: a change of the configuration, taken by the store 4 s later, came to all 87 nodes only when
-// that node's old watch was given up:
-//
-//   up=23.38 coordinator_belief belief=lease_acquired
-//   up=24.02 store_calls detail="read 3 transaction 1 unanswered 0 watch 4"
-//   up=29.02 store_calls detail="read 3 transaction 44 unanswered 0 watch 4"
-//            configuration_applied configuration=7 age_ms=22787.1 cause=coordinator
-BOOST_AUTO_TEST_CASE(WhoTakesTheLeaseSendsItsWatchesAnew) {
+// Guards against a new coordinator that relies on a dead watch. During a store outage of 3.7 s all
+// nodes sent their own watches, which the store neither answered nor closed; a watch waits for 20
+// s. A node that acquired the lease 0.04 s after the outage confirmed its copy from then on,
+// although its watch was dead: a configuration change 4 s later reached all 87 nodes only when that
+// watch timed out, at an age of 22.8 s.
+BOOST_AUTO_TEST_CASE(NewLeaseHolderRestartsItsWatches) {
   WatchingRelay node;
-  const std::vector<uint64_t> silent = node.Watch();
+  const std::vector<uint64_t> lost = node.Watch();
   node.now += absl::Seconds(2);
   node.relay.OnLeading(true);
   BOOST_TEST(node.Watch().size() == 2U);
-  // Should an old one be answered all the same, that is not taken for the new one's answer.
-  node.backends.OnReply(silent.back(), {store::StoreStatus::kUnknown, {}, false, 0, ""}, node.now);
+  // A late reply to an old watch is not taken for the reply to the new one.
+  node.backends.OnReply(lost.back(), {store::StoreStatus::kUnknown, {}, false, 0, ""}, node.now);
   BOOST_TEST(node.Watch().empty());
 }
 
-// The same with a lease that outlasts the silence: its holder's watches were lost with its other
-// calls, and waited for up to 6 s. Found in reading.
-BOOST_AUTO_TEST_CASE(AHolderSendsItsWatchesAnewAfterACallWithoutAnAnswer) {
+// The same with a lease that outlasts the outage: the holder's watches are lost with its other
+// calls and would be waited for up to 6 s.
+BOOST_AUTO_TEST_CASE(LeaseHolderRestartsWatchesAfterUnansweredCall) {
   WatchingRelay node;
   node.relay.OnLeading(true);
   node.Watch();
@@ -106,27 +101,28 @@
   BOOST_TEST(node.Watch().empty());
   node.relay.OnStoreAnswered(node.now);
   BOOST_TEST(node.Watch().size() == 2U);
-  // Where the store loses many answers, not for each of them.
+  // Where the store loses many answers, the watches are not restarted for each of them.
   node.relay.OnStoreUnanswered();
   node.relay.OnStoreAnswered(node.now);
   BOOST_TEST(node.Watch().empty());
 }
 
-// A machine slept for 5 s with a watch on its way; the answer lay in its connection meanwhile, and
-// was taken for one that had come within a second of the change.
-BOOST_AUTO_TEST_CASE(WhatAnAnswerTellsAfterASuspensionMayBeAsOldAsTheSuspension) {
+// Guards against a wrong age of changes after a machine was suspended: it slept for 5 s with a
+// watch outstanding, and the reply waiting in its connection was taken for one within 1 s of the
+// change.
+BOOST_AUTO_TEST_CASE(ReplyAfterSuspensionMayReportOldChanges) {
   WatchingRelay node;
-  const Time asked = node.now;
+  const Time sent_at = node.now;
   const std::vector<uint64_t> watches = node.Watch();
   node.now += absl::Seconds(7);
   node.relay.OnResumed();
   const store::Row row{{"backends", "", "new"}, "value", 101, false};
   node.backends.OnReply(watches.back(), {store::StoreStatus::kDone, {row}, false, 101, ""},
                         node.now);
-  BOOST_TEST((node.backends.rows().at("new").changed_after <= asked));
+  BOOST_TEST((node.backends.rows().at("new").changed_after <= sent_at));
 }
 
-BOOST_AUTO_TEST_CASE(ANodeThatNobodyReliesOnKeepsItsWatches) {
+BOOST_AUTO_TEST_CASE(NodeThatDoesNotCoordinateKeepsItsWatches) {
   WatchingRelay node;
   node.Watch();
   node.relay.OnStoreUnanswered();
@@ -134,13 +130,13 @@
   BOOST_TEST(node.Watch().empty());
 }
 
-BOOST_AUTO_TEST_CASE(SwitchedOffEveryNodeWatches) {
+BOOST_AUTO_TEST_CASE(EveryNodeWatchesWhenRelayIsDisabled) {
   World world(kNodes, {.enabled = false});
   const auto callers = world.Callers([&] { Settle(&world); });
   BOOST_TEST(callers.size() == kNodes);
 }
 
-BOOST_AUTO_TEST_CASE(ACoordinatorCutFromTheStoreIsNotReliedOn) {
+BOOST_AUTO_TEST_CASE(CoordinatorCutFromTheStoreConfirmsNoCopies) {
   for (const uint32_t standbys : {0U, 2U}) {
     World world(kNodes, {.standbys = standbys});
     Settle(&world);
@@ -150,14 +146,14 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(AFrozenCoordinatorIsNotReliedOn) {
-  // Confirmations count for long, so that only the silence tells.
+BOOST_AUTO_TEST_CASE(FrozenCoordinatorConfirmsNoCopies) {
+  // Confirmations count for long here, so that only the missing heartbeats end the reliance.
   World world(kNodes, {.standbys = 0, .freshness = absl::Seconds(2)});
   Settle(&world);
   world.coordinator().frozen = true;
   world.store.Put("backends", "new");
   BOOST_TEST(world.RunUntil(HoldsNew, kBound, World::kCoordinator) < absl::Milliseconds(800));
-  // Nor when it wakes up: what it says then is old.
+  // Nor when it resumes: its copy is outdated then.
   world.Run(absl::Seconds(3));
   world.store.Put("backends", "newer");
   world.coordinator().frozen = false;
@@ -165,7 +161,7 @@
   BOOST_TEST(world.RunUntil(holds, kBound, World::kCoordinator) < absl::Milliseconds(200));
 }
 
-BOOST_AUTO_TEST_CASE(AStandbyShowsThatTheCoordinatorsWatchWasDropped) {
+BOOST_AUTO_TEST_CASE(StandbyRevealsDroppedWatchOfCoordinator) {
   World world(kNodes, {});
   Settle(&world);
   world.coordinator().watches_dropped = true;
@@ -173,7 +169,7 @@
   BOOST_TEST(world.RunUntil(HoldsNew, kBound) < absl::Seconds(1));
 }
 
-BOOST_AUTO_TEST_CASE(ANodeThatTheStoreTurnsAwayGetsEveryChange) {
+BOOST_AUTO_TEST_CASE(NodeCutFromTheStoreReceivesEveryChange) {
   World world(kNodes, {});
   Settle(&world);
   world.nodes.at(7)->cut = true;
@@ -181,7 +177,7 @@
   BOOST_TEST(world.RunUntil(HoldsNew, kBound) < absl::Milliseconds(500));
 }
 
-/// Node 2 hears the coordinator, node 1; both have read the same, then changes were missed.
+/// Node 2 follows the coordinator, node 1. Both have read the same tables; then changes are missed.
 struct Pair {
   Pair() : coordinator(1), node(2) {
     for (Node* each : {&coordinator, &node}) {
@@ -191,13 +187,13 @@
     Heartbeat first;
     from.AddToPush(kStart, &first);
   }
-  /// The coordinator's store tells of a change of the back ends.
+  /// Reports a change of the back ends to the coordinator's watch.
   void Change(const SharedRow& row, store::RowVersion version) {
     const auto watch = coordinator.backends.Poll(coordinator.backends.NextWake());
     coordinator.backends.OnReply(watch->call, StoreAnswer("backends", {row}, version), kStart);
   }
-  /// The store has forgotten its history, so the coordinator reads the back ends anew.
-  void ReadAnew(const std::vector<SharedRow>& rows, store::RowVersion version) {
+  /// Reports that the history is gone and answers the coordinator's reread of the back ends.
+  void Reread(const std::vector<SharedRow>& rows, store::RowVersion version) {
     store::TableFollower& table = coordinator.backends;
     const auto watch = table.Poll(table.NextWake());
     store::StoreReply gone;
@@ -213,9 +209,9 @@
     from.AddToPush(now, &heartbeat);
     return heartbeat;
   }
-  void Hear(const Heartbeat& heartbeat, Time now = kStart) {
+  void Receive(const Heartbeat& heartbeat, Time now = kStart) {
     to.TakeRows(heartbeat, now);
-    to.OnCoordinatorHeard(heartbeat, now, false, now);
+    to.OnCoordinatorHeartbeat(heartbeat, now, false, now);
   }
 
   Node coordinator;
@@ -224,65 +220,66 @@
   TableRelay to{{.standbys = 0}, 2, &node.configuration, &node.backends};
 };
 
-BOOST_AUTO_TEST_CASE(APushVouchesButDoesNotTellSinceWhen) {
-  // A slow coordinator's pushes came a quarter of a second after they were made: taken for the
-  // moment of their arrival, requests reached an owner 2.045 s after it had left, 2 s allowed.
+BOOST_AUTO_TEST_CASE(PushSuspendsWatchButDoesNotAdvanceConfirmation) {
+  // A slow coordinator's pushes arrived a quarter of a second after they were created. Because they
+  // counted from their arrival, requests reached an owner 2.045 s after it had left; 2 s are
+  // allowed.
   Pair pair;
   const Time later = kStart + absl::Milliseconds(300);
   pair.coordinator.backends.Poll(pair.coordinator.backends.NextWake());
   pair.coordinator.backends.OnStoreAnswered(later);
-  pair.Hear(pair.Push(later), later);
+  pair.Receive(pair.Push(later), later);
   BOOST_TEST(pair.node.backends.Suspended(later));
   BOOST_TEST((pair.node.backends.last_confirmed() == kStart));
-  // An answer was made after its report was sent.
-  pair.to.OnCoordinatorHeard(pair.Push(later), later, /*answers=*/true, later);
+  // An answer was created after its report was sent.
+  pair.to.OnCoordinatorHeartbeat(pair.Push(later), later, /*answers=*/true, later);
   BOOST_TEST((pair.node.backends.last_confirmed() > kStart));
 }
 
-BOOST_AUTO_TEST_CASE(AMissedPushEndsTheSuspensionOfItsTableOnly) {
+BOOST_AUTO_TEST_CASE(MissedPushEndsSuspensionOfItsTableOnly) {
   Pair pair;
-  pair.Hear(pair.Push());
+  pair.Receive(pair.Push());
   BOOST_TEST(pair.node.backends.Suspended(kStart));
   pair.Change({"i-2", "ready", 70}, 70);
   pair.Push();
   pair.Change({"i-3", "ready", 80}, 80);
-  pair.Hear(pair.Push());
+  pair.Receive(pair.Push());
   BOOST_TEST(!pair.node.backends.Suspended(kStart));
   BOOST_TEST(!pair.node.backends.rows().contains("i-3"));
   BOOST_TEST(pair.node.configuration.Suspended(kStart));
-  // The answer to its next report brings what it lacks.
+  // The answer to its next report contains what it lacks.
   Report report;
   report.configuration_version = 40;
   report.backends_version = 60;
   Heartbeat answer;
   answer.sender = 1;
   pair.from.AddToAnswer(report, kStart, &answer);
-  pair.Hear(answer);
+  pair.Receive(answer);
   BOOST_TEST(pair.node.backends.rows().size() == 3);
   BOOST_TEST(pair.node.backends.Suspended(kStart));
 }
 
-BOOST_AUTO_TEST_CASE(AnOldConfirmationEndsTheSuspension) {
+BOOST_AUTO_TEST_CASE(OldConfirmationEndsSuspension) {
   Pair pair;
   const Time early = kStart + absl::Milliseconds(1300);
-  pair.Hear(pair.Push(early), early);
+  pair.Receive(pair.Push(early), early);
   BOOST_TEST(pair.node.backends.Suspended(early + absl::Milliseconds(199)));
   BOOST_TEST(!pair.node.backends.Suspended(early + absl::Milliseconds(200)));
   const Time late = kStart + absl::Milliseconds(1500);
   pair.node.backends.Suspend(late + absl::Seconds(1), kStart);
-  pair.Hear(pair.Push(late), late);
+  pair.Receive(pair.Push(late), late);
   BOOST_TEST(!pair.node.backends.Suspended(late));
 }
 
-BOOST_AUTO_TEST_CASE(AnAnswerVouchesFromTheReportsSend) {
+BOOST_AUTO_TEST_CASE(AnswerConfirmsFromSendTimeOfReport) {
   Pair pair;
   const Heartbeat heartbeat = pair.Push();
-  pair.to.OnCoordinatorHeard(heartbeat, kStart - absl::Milliseconds(400), true, kStart);
+  pair.to.OnCoordinatorHeartbeat(heartbeat, kStart - absl::Milliseconds(400), true, kStart);
   BOOST_TEST(pair.node.backends.Suspended(kStart + absl::Milliseconds(299)));
   BOOST_TEST(!pair.node.backends.Suspended(kStart + absl::Milliseconds(300)));
 }
 
-BOOST_AUTO_TEST_CASE(ASlowAnswerVouchesForLess) {
+BOOST_AUTO_TEST_CASE(SlowAnswerConfirmsForLess) {
   Pair pair;
   Membership& membership = pair.node.membership;
   membership.OnHolderKnown(MakeLease(3, 1), kStart);
@@ -296,10 +293,10 @@
   BOOST_TEST(!pair.node.backends.Suspended(kStart + absl::Milliseconds(700)));
 }
 
-BOOST_AUTO_TEST_CASE(ANewCoordinatorWatchesAtOnce) {
+BOOST_AUTO_TEST_CASE(NewCoordinatorWatchesImmediately) {
   Pair pair;
   Node& node = pair.node;
-  pair.Hear(pair.Push());
+  pair.Receive(pair.Push());
   BOOST_TEST(!node.backends.Poll(kStart).has_value());
   node.membership.OnLeaseHeld(MakeLease(4, 2), kStart + absl::Seconds(2), kStart);
   const auto watch = node.backends.Poll(kStart);
@@ -309,7 +306,7 @@
   BOOST_TEST((node.backends.settings().watch_wait == absl::Seconds(20)));
 }
 
-BOOST_AUTO_TEST_CASE(SignsOfLifeVouchAsWell) {
+BOOST_AUTO_TEST_CASE(KeepAlivesConfirmCopies) {
   Pair pair;
   Membership& membership = pair.coordinator.membership;
   membership.OnLeaseHeld(MakeLease(3, 1), kStart + absl::Minutes(1), kStart);
@@ -321,14 +318,14 @@
   membership.OnTick(kStart + absl::Seconds(4));
   membership.TakeActions();
   membership.OnTick(kStart + absl::Milliseconds(4450));
-  const auto signs = pair.coordinator.TakeSent<Heartbeat>();
-  BOOST_REQUIRE(signs.size() == 1);
-  BOOST_TEST(signs.front().second.tables.size() == 2);
+  const auto keep_alives = pair.coordinator.TakeSent<Heartbeat>();
+  BOOST_REQUIRE(keep_alives.size() == 1);
+  BOOST_TEST(keep_alives.front().second.tables.size() == 2);
 }
 
-/// While the list of members was short, at the start of 295 nodes, all took themselves for
-/// standbys: 3,768 watches in five seconds.
-BOOST_AUTO_TEST_CASE(OnlyThoseThatTheCoordinatorNamesAreStandbys) {
+/// Guards against nodes that choose themselves as standbys: at the start of 295 nodes, while the
+/// list of members was short, all did so and sent 3,768 watches in five seconds.
+BOOST_AUTO_TEST_CASE(OnlyNodesNamedByCoordinatorAreStandbys) {
   Pair pair;
   Heartbeat heartbeat = pair.Push();
   std::vector<uint64_t> others;
@@ -342,7 +339,7 @@
     Node node(number);
     node.LoadTables({{"config", "r12", 40}}, {{"i-1", "ready", 50}}, 60, kStart);
     TableRelay relay({}, number, &node.configuration, &node.backends);
-    relay.OnCoordinatorHeard(heartbeat, kStart, false, kStart);
+    relay.OnCoordinatorHeartbeat(heartbeat, kStart, false, kStart);
     standbys += node.backends.Suspended(kStart) ? 0 : 1;
   }
   BOOST_TEST(standbys == 2);
@@ -350,26 +347,26 @@
   BOOST_TEST(pair.from.ChooseStandbys({}).empty());
 }
 
-/// The store forgets its history: the coordinator reads the table anew and tells what went, by what
-/// its own copy held. Before, all 295 nodes read it too: 2,000 calls in two seconds.
-BOOST_AUTO_TEST_CASE(ATableThatTheCoordinatorReadAnewNeedsNobodyElsesWatch) {
+/// When the store loses its history, the coordinator rereads the table and derives the removals
+/// from its previous copy. Otherwise all 295 nodes would reread it: 2,000 calls in two seconds.
+BOOST_AUTO_TEST_CASE(RereadByCoordinatorKeepsOtherNodesSuspended) {
   Pair pair;
   pair.Change({"i-2", "ready", 70}, 70);
-  pair.Hear(pair.Push());
-  pair.ReadAnew({{"i-2", "draining", 85}}, 90);
-  pair.Hear(pair.Push());
+  pair.Receive(pair.Push());
+  pair.Reread({{"i-2", "draining", 85}}, 90);
+  pair.Receive(pair.Push());
   BOOST_TEST(pair.node.backends.Suspended(kStart));
   BOOST_TEST(!pair.node.backends.rows().contains("i-1"));
   BOOST_TEST(pair.node.backends.rows().at("i-2").value == "draining");
 }
 
-/// Nothing could be told from a version within the gap, and a node that tried ended by itself.
-BOOST_AUTO_TEST_CASE(WhatFollowsAReadingAnewIsToldFromItsEndOn) {
+/// Changes cannot be computed from a version inside the gap; a node that tried to terminated.
+BOOST_AUTO_TEST_CASE(ChangesAfterRereadAreSentFromItsEnd) {
   Pair pair;
-  pair.ReadAnew({{"i-1", "ready", 50}, {"i-2", "ready", 85}}, 90);
-  pair.Hear(pair.Push());
+  pair.Reread({{"i-1", "ready", 50}, {"i-2", "ready", 85}}, 90);
+  pair.Receive(pair.Push());
   BOOST_TEST(pair.node.backends.rows().contains("i-2"));
-  pair.Hear(pair.Push());
+  pair.Receive(pair.Push());
   BOOST_TEST(pair.node.backends.Suspended(kStart));
   Report report;
   report.configuration_version = 40;
@@ -380,16 +377,16 @@
   BOOST_TEST(answer.tables.back().base == 90U);
 }
 
-/// It heard of a row that both came and went while the coordinator did not watch.
-BOOST_AUTO_TEST_CASE(ACopyFromWithinTheGapIsNotVouchedFor) {
+/// The copy holds a row that was added and removed while the coordinator did not watch.
+BOOST_AUTO_TEST_CASE(CopyInsideTheGapIsNotConfirmed) {
   Pair pair;
-  pair.Hear(pair.Push());
-  pair.ReadAnew({{"i-1", "ready", 50}}, 90);
+  pair.Receive(pair.Push());
+  pair.Reread({{"i-1", "ready", 50}}, 90);
   pair.node.backends.Resume();
   const auto own = pair.node.backends.Poll(pair.node.backends.NextWake());
   pair.node.backends.OnReply(own->call, StoreAnswer("backends", {{"i-3", "ready", 75}}, 75),
                              kStart);
-  pair.Hear(pair.Push());
+  pair.Receive(pair.Push());
   BOOST_TEST(pair.node.backends.rows().contains("i-3"));
   BOOST_TEST(!pair.node.backends.Suspended(kStart));
 }
--- a/tests/unit/store/changed_after_test.cc
+++ b/tests/unit/store/changed_after_test.cc
@@ -1,4 +1,5 @@
-// Since when a change may have been in force when a copy hears of it.
+// Tests of TableFollower::changed_after(): the earliest time at which a change reported to a copy
+// may have taken effect.
 #include <boost/test/unit_test.hpp>
 #include <optional>
 #include <string>
@@ -12,7 +13,7 @@
 
 constexpr Duration kDelivery = absl::Seconds(1);
 
-/// Has read "a" and "b" at the start; its watch waits since then.
+/// A follower that read rows "a" and "b" at kStart and has had a watch outstanding since then.
 struct Watching {
   Watching() : follower({.table = kTable, .partition = "", .seed = 7}) {
     const auto read = follower.Poll(kStart);
@@ -25,7 +26,7 @@
   std::optional<FollowerCall> watch;
 };
 
-BOOST_FIXTURE_TEST_CASE(AWaitingWatchTellsAtOnce, Watching) {
+BOOST_FIXTURE_TEST_CASE(WaitingWatchReportsChangeWithinDeliveryTime, Watching) {
   const Time later = kStart + absl::Seconds(5);
   follower.OnReply(watch->call, Done({Removed("a", 11)}, 11), later);
   BOOST_TEST((follower.changed_after() == later - kDelivery));
@@ -33,7 +34,7 @@
   BOOST_TEST((follower.changed_after() == absl::InfiniteFuture()));
 }
 
-BOOST_FIXTURE_TEST_CASE(AWatchAnsweredAtOnceTellsOfTheTimeBeforeIt, Watching) {
+BOOST_FIXTURE_TEST_CASE(ImmediateAnswerMayReportChangesBeforeTheWatch, Watching) {
   follower.OnReply(watch->call, Done({MakeRow("c", 11)}, 11), kStart + absl::Seconds(5));
   follower.TakeChangedKeys();
   follower.Suspend(kStart + absl::Seconds(7), kStart + absl::Seconds(6));
@@ -44,8 +45,8 @@
   BOOST_TEST((follower.changed_after() == kStart + absl::Seconds(6)));
 }
 
-BOOST_FIXTURE_TEST_CASE(AReadingAfterALostWatchTrustsNothingOfTheWatch, Watching) {
-  // The store answered other calls meanwhile, so the watch seemed to be in order.
+BOOST_FIXTURE_TEST_CASE(ReadAfterLostWatchIgnoresWatchedUntil, Watching) {
+  // The store answered other calls meanwhile, so the watch seemed to work.
   follower.OnStoreAnswered(kStart + absl::Seconds(2));
   BOOST_TEST((follower.watched_until() == kStart + absl::Seconds(2)));
   StoreReply lost;
@@ -57,7 +58,7 @@
   BOOST_TEST((follower.changed_after() == kStart));
 }
 
-BOOST_FIXTURE_TEST_CASE(TheOldestOfSeveralChangesCounts, Watching) {
+BOOST_FIXTURE_TEST_CASE(OldestOfSeveralChangesDeterminesChangedAfter, Watching) {
   const Time first = kStart + absl::Seconds(5);
   follower.OnReply(watch->call, Done({MakeRow("c", 11)}, 11), first);
   const auto next = follower.Poll(follower.NextWake());
@@ -65,7 +66,7 @@
   BOOST_TEST((follower.changed_after() == first - kDelivery));
 }
 
-BOOST_FIXTURE_TEST_CASE(ATellerThatWasDeafSaysSo, Watching) {
+BOOST_FIXTURE_TEST_CASE(SenderWithLostWatchReportsOldChangedAfter, Watching) {
   const Time now = kStart + absl::Seconds(5);
   Watching other;
   StoreReply lost;
@@ -76,13 +77,13 @@
   const auto changes = other.follower.ChangesSince(10);
   BOOST_REQUIRE(changes.has_value());
   BOOST_TEST((changes->changed_after == kStart));
-  // This copy was vouched for until now, falsely.
+  // This copy was confirmed up to `now`, wrongly: the sender's watch was lost.
   follower.Suspend(now + absl::Seconds(1), now);
   BOOST_TEST(follower.Apply(*changes, now));
   BOOST_TEST((follower.changed_after() == kStart));
 }
 
-BOOST_FIXTURE_TEST_CASE(ACopyLeftWithoutNewsTrustsNoPromptTeller, Watching) {
+BOOST_FIXTURE_TEST_CASE(CopyWithoutUpdatesUsesItsOwnLastConfirmation, Watching) {
   follower.OnReply(watch->call, Done({MakeRow("c", 11)}, 11), kStart + absl::Seconds(1));
   follower.TakeChangedKeys();
   follower.Suspend(kStart + absl::Seconds(2), kStart + absl::Seconds(1));
--- a/tests/unit/store/table_follower_test.cc
+++ b/tests/unit/store/table_follower_test.cc
@@ -17,15 +17,15 @@
   return reply;
 }
 
-/// A follower and the time it lives in.
+/// A follower and its simulated time.
 struct Fixture {
   Fixture() : follower({.table = kTable, .partition = "", .seed = 7}) {}
 
-  /// The next call, whenever it is due.
+  /// Advances the time to the next call and returns it.
   FollowerCall NextCall() {
     now = std::max(now, follower.NextWake());
     std::optional<FollowerCall> call = follower.Poll(now);
-    if (!call.has_value()) {  // an overdue call has failed: the next one comes after a pause
+    if (!call.has_value()) {  // an overdue call has failed; the next one follows the back-off
       now = follower.NextWake();
       call = follower.Poll(now);
     }
@@ -46,7 +46,7 @@
   void Reply(const FollowerCall& call, const StoreReply& reply) {
     follower.OnReply(call.call, reply, now);
   }
-  /// Reads the table once.
+  /// Completes a read of the table.
   void Load(std::vector<Row> rows, RowVersion version) {
     Reply(NextRead(), Done(std::move(rows), version));
     follower.TakeChangedKeys();
@@ -58,7 +58,7 @@
 
 using Keys = std::vector<std::string>;
 
-BOOST_FIXTURE_TEST_CASE(WatchesFromTheFirstPagesVersion, Fixture) {
+BOOST_FIXTURE_TEST_CASE(WatchStartsFromVersionOfFirstPage, Fixture) {
   Reply(NextRead(), Done({MakeRow("a", 1)}, 10, true));
   const FollowerCall second = NextRead();
   BOOST_TEST(std::get<ReadQuery>(second.query).from_key == std::string("a\0", 2));
@@ -67,44 +67,44 @@
   BOOST_TEST(follower.known());
   BOOST_TEST(follower.TakeChangedKeys() == Keys({"a", "b"}), boost::test_tools::per_element());
   const FollowerCall watch = NextWatch(10);
-  // "a" changed behind the first page; the change to "b" is held already.
+  // "a" changed after the first page was read; the change to "b" is already held.
   Reply(watch, Done({MakeRow("a", 11, "new"), MakeRow("b", 12)}, 14));
   BOOST_TEST(follower.rows().at("a").value == "new");
   BOOST_TEST(follower.TakeChangedKeys() == Keys({"a"}), boost::test_tools::per_element());
   NextWatch(14);
 }
 
-BOOST_FIXTURE_TEST_CASE(PagesWithoutEndAreGivenUp, Fixture) {
+BOOST_FIXTURE_TEST_CASE(EmptyPageWithMoreFailsTheRead, Fixture) {
   Reply(NextRead(), Done({}, 10, true));
-  BOOST_TEST(follower.Troubled(now));
+  BOOST_TEST(follower.RecentlyFailed(now));
   BOOST_TEST(std::get<ReadQuery>(NextRead().query).from_key.empty());
 }
 
-BOOST_FIXTURE_TEST_CASE(AWatchChangesAndRemovesRows, Fixture) {
+BOOST_FIXTURE_TEST_CASE(WatchChangesAndRemovesRows, Fixture) {
   Load({MakeRow("a", 1), MakeRow("b", 2)}, 10);
   Reply(NextWatch(10), Done({MakeRow("c", 11), Removed("a", 12), Removed("b", 1)}, 12));
   BOOST_TEST(!follower.rows().contains("a"));
-  BOOST_TEST(follower.rows().contains("b"));  // removed before the row held was written
+  BOOST_TEST(follower.rows().contains("b"));  // the removal is older than the row held
   BOOST_TEST(follower.TakeChangedKeys() == Keys({"a", "c"}), boost::test_tools::per_element());
   BOOST_TEST(follower.content_version() == 12);
 }
 
-BOOST_FIXTURE_TEST_CASE(RowsOfOtherPartitionsAreLeftOut, Fixture) {
+BOOST_FIXTURE_TEST_CASE(RowsOfOtherPartitionsAreIgnored, Fixture) {
   Load({}, 10);
   Reply(NextWatch(10), Done({{{kTable, "other", "a"}, "value", 11, false}}, 11));
   BOOST_TEST(follower.rows().empty());
 }
 
-BOOST_FIXTURE_TEST_CASE(LostHistoryIsReadAnewAndRemovalsAreSeen, Fixture) {
+BOOST_FIXTURE_TEST_CASE(LostHistoryTriggersReadThatDetectsRemovals, Fixture) {
   Load({MakeRow("a", 1), MakeRow("b", 2)}, 10);
   Reply(NextWatch(10), Failed(StoreStatus::kHistoryGone));
-  BOOST_TEST(!follower.Troubled(now));
+  BOOST_TEST(!follower.RecentlyFailed(now));
   Reply(NextRead(), Done({MakeRow("b", 2), MakeRow("c", 15)}, 20));
   BOOST_TEST(follower.TakeChangedKeys() == Keys({"a", "c"}), boost::test_tools::per_element());
   NextWatch(20);
 }
 
-BOOST_FIXTURE_TEST_CASE(HistoryLostAgainAndAgainIsNotReadAtFullSpeed, Fixture) {
+BOOST_FIXTURE_TEST_CASE(RepeatedHistoryLossBacksOff, Fixture) {
   Load({}, 10);
   Reply(NextWatch(10), Failed(StoreStatus::kHistoryGone));
   Load({}, 20);
@@ -113,27 +113,27 @@
   BOOST_TEST(follower.NextWake() >= now + absl::Milliseconds(100));
 }
 
-BOOST_FIXTURE_TEST_CASE(AStaleReadChangesNothing, Fixture) {
+BOOST_FIXTURE_TEST_CASE(StaleReadChangesNothing, Fixture) {
   Load({MakeRow("a", 8, "new")}, 10);
   Reply(NextWatch(10), Failed(StoreStatus::kHistoryGone));
   Reply(NextRead(), Done({MakeRow("a", 5, "old"), MakeRow("gone", 3)}, 9));
   BOOST_TEST(follower.rows().at("a").value == "new");
   BOOST_TEST(!follower.rows().contains("gone"));
   BOOST_TEST(follower.as_of() == 10);
-  BOOST_TEST(follower.Troubled(now));
+  BOOST_TEST(follower.RecentlyFailed(now));
 }
 
-BOOST_FIXTURE_TEST_CASE(AnOlderRowInANewerAnswerIsNotTaken, Fixture) {
+BOOST_FIXTURE_TEST_CASE(OlderRowInNewerAnswerIsIgnored, Fixture) {
   Load({MakeRow("a", 8, "new")}, 10);
   Reply(NextWatch(10), Done({MakeRow("a", 7, "old")}, 11));
   BOOST_TEST(follower.rows().at("a").value == "new");
 }
 
-BOOST_FIXTURE_TEST_CASE(AnAnswerToAnAbandonedCallIsIgnored, Fixture) {
+BOOST_FIXTURE_TEST_CASE(AnswerToAbandonedCallIsIgnored, Fixture) {
   const FollowerCall late = NextRead();
   now += late.timeout;
   BOOST_TEST(!follower.Poll(now).has_value());
-  BOOST_TEST(follower.Troubled(now));
+  BOOST_TEST(follower.RecentlyFailed(now));
   Reply(late, Done({MakeRow("a", 1)}, 10));
   BOOST_TEST(!follower.known());
 }
@@ -153,14 +153,14 @@
   BOOST_TEST(follower.NextWake() - now <= absl::Milliseconds(200));
 }
 
-BOOST_FIXTURE_TEST_CASE(ChangesInQuickSuccessionCostOneCall, Fixture) {
+BOOST_FIXTURE_TEST_CASE(ChangesInQuickSuccessionAreBatched, Fixture) {
   Load({}, 10);
   Reply(NextWatch(10), Done({MakeRow("a", 11)}, 11));
   BOOST_TEST(!follower.Poll(now).has_value());
   BOOST_TEST(follower.NextWake() == now + absl::Milliseconds(50));
 }
 
-BOOST_FIXTURE_TEST_CASE(ALongWatchConfirmsUntilItsEnd, Fixture) {
+BOOST_FIXTURE_TEST_CASE(LongWatchConfirmsUntilItsEnd, Fixture) {
   Load({}, 10);
   const Time sent = now;
   const FollowerCall watch = NextWatch(10);
@@ -168,7 +168,7 @@
   now += kWait + absl::Milliseconds(30);
   Reply(watch, Done({}, 12));
   BOOST_TEST(follower.last_confirmed() == sent + kWait);
-  // An answer that tells of a change says nothing about the time after its call was sent.
+  // A reply with a change confirms the copy only up to the send time of its call.
   const Time next_sent = now;
   const FollowerCall next = NextWatch(12);
   now += absl::Seconds(5);
@@ -176,18 +176,18 @@
   BOOST_TEST(follower.last_confirmed() == next_sent);
 }
 
-BOOST_FIXTURE_TEST_CASE(TroubleEndsAfterItsWindow, Fixture) {
+BOOST_FIXTURE_TEST_CASE(RecentFailureExpiresAfterWindow, Fixture) {
   Load({}, 10);
   Reply(NextWatch(10), Failed(StoreStatus::kRefused));
   const Time failed = now;
   BOOST_TEST((follower.UnansweredSince() == failed));
   Reply(NextWatch(10), Done({MakeRow("a", 11)}, 11));
   BOOST_TEST(!follower.UnansweredSince().has_value());
-  BOOST_TEST(follower.Troubled(failed + absl::Seconds(3)));
-  BOOST_TEST(!follower.Troubled(failed + absl::Milliseconds(3001)));
+  BOOST_TEST(follower.RecentlyFailed(failed + absl::Seconds(3)));
+  BOOST_TEST(!follower.RecentlyFailed(failed + absl::Milliseconds(3001)));
 }
 
-BOOST_FIXTURE_TEST_CASE(AMergeIsTakenOnlyWhenNewer, Fixture) {
+BOOST_FIXTURE_TEST_CASE(MergeIsAppliedOnlyWhenNewer, Fixture) {
   Load({MakeRow("a", 8), MakeRow("b", 9)}, 10);
   BOOST_TEST(!follower.Merge({MakeRow("a", 5, "old")}, 10, now, now));
   BOOST_TEST(follower.rows().size() == 2);
@@ -197,8 +197,8 @@
   BOOST_TEST(follower.content_version() == 12);
 }
 
-BOOST_FIXTURE_TEST_CASE(AMergeKeepsRowsNewerThanItself, Fixture) {
-  // The second page was read later than the first: its row is newer than the copy as a whole.
+BOOST_FIXTURE_TEST_CASE(MergeKeepsNewerRows, Fixture) {
+  // The second page was read later than the first, so its row is newer than as_of().
   Reply(NextRead(), Done({MakeRow("a", 1)}, 10, true));
   Reply(NextRead(), Done({MakeRow("b", 14)}, 14));
   BOOST_TEST(follower.as_of() == 10);
@@ -207,7 +207,7 @@
   BOOST_TEST(follower.rows().contains("b"));
 }
 
-BOOST_FIXTURE_TEST_CASE(AWatchOvertakenByAMergeBringsNothingBack, Fixture) {
+BOOST_FIXTURE_TEST_CASE(WatchOvertakenByMergeRestoresNoRemovedRows, Fixture) {
   Load({MakeRow("a", 8)}, 10);
   const FollowerCall watch = NextWatch(10);
   BOOST_TEST(follower.Merge({}, 12, now, now));
@@ -216,16 +216,16 @@
   NextWatch(12);
 }
 
-BOOST_FIXTURE_TEST_CASE(AMergeWhileReadingIsNotUndoneByTheReading, Fixture) {
+BOOST_FIXTURE_TEST_CASE(MergeDuringReadIsNotUndone, Fixture) {
   const FollowerCall read = NextRead();
   BOOST_TEST(follower.Merge({MakeRow("a", 12)}, 12, now, now));
   Reply(read, Done({MakeRow("b", 8)}, 10));
   BOOST_TEST(!follower.rows().contains("b"));
-  BOOST_TEST(!follower.Troubled(now));
+  BOOST_TEST(!follower.RecentlyFailed(now));
   NextWatch(12);
 }
 
-BOOST_FIXTURE_TEST_CASE(ASilentWatchIsLostOnceAChangeIsKnownElsewhere, Fixture) {
+BOOST_FIXTURE_TEST_CASE(UnresponsiveWatchFailsOnceNewerVersionIsExpected, Fixture) {
   Load({}, 10);
   NextWatch(10);
   follower.ExpectVersion(10, now);
@@ -234,7 +234,7 @@
   BOOST_TEST(follower.NextWake() == now + absl::Seconds(1));
   now = follower.NextWake();
   follower.Poll(now);
-  BOOST_TEST(follower.Troubled(now));
+  BOOST_TEST(follower.RecentlyFailed(now));
   NextWatch(10);
 }
 
