--- a/src/core/forwarding/attempt_events.cc
+++ b/src/core/forwarding/attempt_events.cc
@@ -39,7 +39,7 @@
 /// Whether a request may have been lost because the back end is full. False when the back end
 /// recently reported a free slot.
 bool MayBeFull(const load::LoadEstimate& load, Time now) {
-  return load.ToldAge(now) > kReportFreshness || !HasRoom(load.told());
+  return load.ReportAge(now) > kReportFreshness || !HasRoom(load.told());
 }
 
 /// Whether an answer received now arrives within the time limit of its attempt.
@@ -92,7 +92,7 @@
       by_key ? attempt.backend->UsableAsOwner(now) : attempt.backend->UsableForAny(now);
   // A limit that was reported after this attempt was decided on applies to it too.
   const bool permitted = attempt.permitted || !rates_.IsLimited(attempt.backend->registration.id);
-  return usable && permitted && !attempt.backend->Rests(now);
+  return usable && permitted && !attempt.backend->InBackoff(now);
 }
 
 void Dispatcher::Impl::OnSent(AttemptHandle handle, Time now) {
@@ -142,11 +142,11 @@
                                            Time now) {
   BackendState& backend = *attempt.backend;
   if (answer.cold_left.has_value()) {
-    services_.NoteCold(*answer.cold_left, backend, now);
+    services_.RecordCold(*answer.cold_left, backend, now);
   }
   if (answer.backoff.has_value()) {
-    const bool rested = backend.Rests(now);
-    services_.NoteRest(*answer.backoff, backend, now);
+    const bool rested = backend.InBackoff(now);
+    services_.RecordBackoff(*answer.backoff, backend, now);
     if (!rested && HasRoom(answer.load)) {
       attempt.service->load.AddDeclined(backend.registration.id, *answer.backoff);
     }
@@ -156,7 +156,7 @@
     return;
   }
   if (answer.leaving) {
-    services_.NoteLeaving(backend, now);
+    services_.RecordLeaving(backend, now);
   }
   rates_.limits().OnAnswer(backend.registration.id, answer.limit, attempt.started, now);
 }
@@ -238,10 +238,10 @@
   }
   if (request.sharded) {
     request.last_failure.kind = FailureKind::kDenied;
-    request.denied = DeniedAssignment{attempt.backend->registration.id, attempt.fence};
-    request.service->load.SetDenied(*request.key);
-    services_.AddBelief(*attempt.backend, "denied",
-                        absl::StrCat("key ", *request.key, ", fence ", attempt.fence));
+    request.denied = RejectedAssignment{attempt.backend->registration.id, attempt.fence};
+    request.service->load.SetNotOwnerKey(*request.key);
+    services_.AddStateChange(*attempt.backend, "denied",
+                             absl::StrCat("key ", *request.key, ", fence ", attempt.fence));
   } else {
     request.failed.push_back(attempt.backend);
     RecordEjection(*attempt.backend, "another instance answered at its address",
@@ -342,8 +342,8 @@
 void Dispatcher::Impl::RecordEjection(const BackendState& backend, const std::string& cause,
                                       Duration time) {
   if (time > absl::ZeroDuration()) {
-    services_.AddBelief(backend, "ejected",
-                        absl::StrCat(cause, ", for ", absl::FormatDuration(time)));
+    services_.AddStateChange(backend, "ejected",
+                             absl::StrCat(cause, ", for ", absl::FormatDuration(time)));
   }
 }
 
--- a/src/core/forwarding/dispatch.cc
+++ b/src/core/forwarding/dispatch.cc
@@ -54,12 +54,12 @@
 
 Choice Dispatcher::Impl::Choose(const Request& request, Time now) {
   Choice choice = ChooseOnce(request, now);
-  if (choice.wants_permit == nullptr) {
+  if (choice.request_permit_for == nullptr) {
     return choice;
   }
   // If this node issues permits for the back end, the permit is available immediately. Otherwise
-  // the request waits for the reply; Choice::try_again holds when it is due.
-  rates_.Ask(choice.wants_permit->registration.id, now);
+  // the request waits for the reply; Choice::retry_at holds when it is due.
+  rates_.Ask(choice.request_permit_for->registration.id, now);
   return choice.backend == nullptr ? ChooseOnce(request, now) : choice;
 }
 
@@ -78,27 +78,28 @@
     const Duration slack =
         std::max(target - service.averages.ServiceTime(), target * kMinSlackShare);
     request.admitted = service.admission.Admit(request.route->priority, slack, now);
-    services_.NoteLevel(service, now);
+    services_.RecordAdmissionLevel(service, now);
   }
   return request.admitted || request.sharded;
 }
 
 bool Dispatcher::Impl::MayWait(const Request& request, const Choice& choice, Time now) const {
   const Duration needed = request.service->averages.ServiceTime();
-  const bool is_timed =
-      choice.obstacle == Obstacle::kOwnerResting || choice.obstacle == Obstacle::kAllResting ||
-      ((choice.obstacle == Obstacle::kOwnerLimited || choice.obstacle == Obstacle::kAllLimited) &&
-       !rates_.AwaitsReply(choice.about->registration.id, now));
-  if (is_timed && choice.try_again > request.wait_deadline) {
+  const bool is_timed = choice.unavailable_reason == UnavailableReason::kOwnerInBackoff ||
+                        choice.unavailable_reason == UnavailableReason::kAllInBackoff ||
+                        ((choice.unavailable_reason == UnavailableReason::kOwnerLimited ||
+                          choice.unavailable_reason == UnavailableReason::kAllLimited) &&
+                         !rates_.AwaitsReply(choice.blocking_backend->registration.id, now));
+  if (is_timed && choice.retry_at > request.wait_deadline) {
     // The request cannot be sent before its wait deadline.
     return false;
   }
-  return choice.may_pass && now < request.wait_deadline && request.answer_by - now > needed;
+  return choice.transient && now < request.wait_deadline && request.answer_by - now > needed;
 }
 
 void Dispatcher::Impl::Wait(Request& request, const Choice& choice, Time now) {
   request.wait_until =
-      std::min(std::max(choice.try_again, now + kMinRedispatchInterval), request.wait_deadline);
+      std::min(std::max(choice.retry_at, now + kMinRedispatchInterval), request.wait_deadline);
   if (!request.waiting) {
     request.waiting = true;
     request.service->waiting.Add(request.QueueEntry());
--- a/src/core/forwarding/final_answer.cc
+++ b/src/core/forwarding/final_answer.cc
@@ -22,43 +22,43 @@
 /// Each rank below the highest gets a retry delay that is longer by this share.
 constexpr double kDelayPerRank = 0.5;
 
-const char* NameOfUnavailableReason(Obstacle obstacle) {
-  switch (obstacle) {
-    case Obstacle::kNone:
+const char* NameOfUnavailableReason(UnavailableReason unavailable_reason) {
+  switch (unavailable_reason) {
+    case UnavailableReason::kNone:
       return "none";
-    case Obstacle::kNoBackend:
+    case UnavailableReason::kNoBackend:
       return "no back end takes new work";
-    case Obstacle::kAllTried:
+    case UnavailableReason::kAllTried:
       return "every back end failed it";
-    case Obstacle::kAllFull:
+    case UnavailableReason::kAllFull:
       return "all back ends are full";
-    case Obstacle::kAllResting:
+    case UnavailableReason::kAllInBackoff:
       return "all back ends asked for rest";
-    case Obstacle::kAllLimited:
+    case UnavailableReason::kAllLimited:
       return "the limits of the back ends left are used up";
-    case Obstacle::kAllCold:
+    case UnavailableReason::kAllCold:
       return "the back ends left are cold";
-    case Obstacle::kOverloaded:
+    case UnavailableReason::kOverloaded:
       return "the queue is longer than the time left";
-    case Obstacle::kNoMap:
+    case UnavailableReason::kNoMap:
       return "no ownership map is confirmed";
-    case Obstacle::kNoOwner:
+    case UnavailableReason::kNoOwner:
       return "the key has no known owner";
-    case Obstacle::kOwnerLeaving:
+    case UnavailableReason::kOwnerLeaving:
       return "the owner is draining or gone";
-    case Obstacle::kMoving:
+    case UnavailableReason::kMoving:
       return "the key is moving";
-    case Obstacle::kOwnerDenied:
+    case UnavailableReason::kNotOwner:
       return "the owner disowned the key";
-    case Obstacle::kOwnerUnreachable:
+    case UnavailableReason::kOwnerUnreachable:
       return "the owner is unreachable";
-    case Obstacle::kOwnerFull:
+    case UnavailableReason::kOwnerFull:
       return "the owner is full";
-    case Obstacle::kOwnerResting:
+    case UnavailableReason::kOwnerInBackoff:
       return "the owner asked for rest";
-    case Obstacle::kOwnerLimited:
+    case UnavailableReason::kOwnerLimited:
       return "the owner's limit is used up";
-    case Obstacle::kOwnerCold:
+    case UnavailableReason::kOwnerCold:
       return "the owner is cold";
   }
   return "unknown";
@@ -84,25 +84,25 @@
   return "unknown";
 }
 
-ResultCode CodeOfUnavailableReason(Obstacle obstacle) {
-  switch (obstacle) {
-    case Obstacle::kNoMap:
-    case Obstacle::kNoOwner:
-    case Obstacle::kOwnerLeaving:
+ResultCode CodeOfUnavailableReason(UnavailableReason unavailable_reason) {
+  switch (unavailable_reason) {
+    case UnavailableReason::kNoMap:
+    case UnavailableReason::kNoOwner:
+    case UnavailableReason::kOwnerLeaving:
       return ResultCode::kNoOwner;
-    case Obstacle::kMoving:
-    case Obstacle::kOwnerDenied:
+    case UnavailableReason::kMoving:
+    case UnavailableReason::kNotOwner:
       return ResultCode::kOwnerChanged;
-    case Obstacle::kAllLimited:
-    case Obstacle::kOwnerLimited:
+    case UnavailableReason::kAllLimited:
+    case UnavailableReason::kOwnerLimited:
       return ResultCode::kBackendLimited;
-    case Obstacle::kAllFull:
-    case Obstacle::kAllResting:
-    case Obstacle::kAllCold:
-    case Obstacle::kOverloaded:
-    case Obstacle::kOwnerFull:
-    case Obstacle::kOwnerResting:
-    case Obstacle::kOwnerCold:
+    case UnavailableReason::kAllFull:
+    case UnavailableReason::kAllInBackoff:
+    case UnavailableReason::kAllCold:
+    case UnavailableReason::kOverloaded:
+    case UnavailableReason::kOwnerFull:
+    case UnavailableReason::kOwnerInBackoff:
+    case UnavailableReason::kOwnerCold:
       return ResultCode::kOverloaded;
     default:
       return ResultCode::kBackendUnreachable;
@@ -122,7 +122,7 @@
 
 /// Returns the expected time until a slot of the back end is free and its back-off has ended.
 Duration WaitAt(const BackendState& backend, Time now) {
-  return std::max(backend.load.ExpectedWait(now), backend.rest_until - now);
+  return std::max(backend.load.ExpectedWait(now), backend.backoff_until - now);
 }
 
 /// Returns the shortest wait at any back end of the service.
@@ -170,7 +170,7 @@
 /// available again. All nodes reject the excess, so the jitter spreads the callers over up to twice
 /// the delay.
 Duration RetryAfterLimit(const Choice& choice, std::mt19937_64& random, Time now) {
-  return std::clamp(choice.try_again - now, kMinRetryAfter, kMaxRetryAfter) * (1 + Draw(random));
+  return std::clamp(choice.retry_at - now, kMinRetryAfter, kMaxRetryAfter) * (1 + Draw(random));
 }
 
 /// `owner`: the back end is used as an owner of keys, so this node's limit for it applies.
@@ -180,7 +180,7 @@
   const std::string limited = owner && limit != admission::OwnerLimit::kUnlimited
                                   ? absl::StrFormat(", limit %.2f", limit)
                                   : "";
-  if (load.ToldAge(now) == absl::InfiniteDuration()) {
+  if (load.ReportAge(now) == absl::InfiniteDuration()) {
     return absl::StrCat(backend.registration.id, ", load untold, ", load.in_flight(), " from here",
                         limited);
   }
@@ -188,7 +188,8 @@
   const std::string slowed = slowdown > 0 ? absl::StrFormat(" slowdown %.2f", slowdown) : "";
   return absl::StrFormat("%s, told running %u waiting %u%s %.0f ms ago, %u from here%s",
                          backend.registration.id, load.told().running, load.told().waiting, slowed,
-                         absl::ToDoubleMilliseconds(load.ToldAge(now)), load.in_flight(), limited);
+                         absl::ToDoubleMilliseconds(load.ReportAge(now)), load.in_flight(),
+                         limited);
 }
 
 std::string DescribeLastFailure(const Request& request) {
@@ -208,7 +209,7 @@
 std::string DescribeCause(const Request& request, const Choice& choice, StopCause cause) {
   switch (cause) {
     case StopCause::kUnavailable:
-      return std::string(NameOfUnavailableReason(choice.obstacle));
+      return std::string(NameOfUnavailableReason(choice.unavailable_reason));
     case StopCause::kNotRepeatable:
       return "it must not run twice";
     case StopCause::kAttemptsSpent:
@@ -222,7 +223,8 @@
     case StopCause::kMayCrashAnother:
       return "it may crash one more back end";
     case StopCause::kTooManyWaiting:
-      return absl::StrCat(NameOfUnavailableReason(choice.obstacle), ", and too many wait already");
+      return absl::StrCat(NameOfUnavailableReason(choice.unavailable_reason),
+                          ", and too many wait already");
   }
   return "unknown";
 }
@@ -271,9 +273,9 @@
   if (request.may_have_run) {
     return MakeAnswer(ResultCode::kConnectionLost, absl::ZeroDuration(), std::move(reason));
   }
-  const bool by_last_failure =
-      request.last_failure.kind != FailureKind::kNone &&
-      (cause != StopCause::kUnavailable || choice.obstacle == Obstacle::kAllTried);
+  const bool by_last_failure = request.last_failure.kind != FailureKind::kNone &&
+                               (cause != StopCause::kUnavailable ||
+                                choice.unavailable_reason == UnavailableReason::kAllTried);
   if (cause == StopCause::kNotAdmitted) {
     return MakeAnswer(ResultCode::kOverloaded, RetryAfterShedding(request, random, now),
                       std::move(reason));
@@ -283,9 +285,9 @@
                       std::move(reason));
   }
   const ResultCode code = by_last_failure ? CodeOfFailure(request.last_failure.kind)
-                                          : CodeOfUnavailableReason(choice.obstacle);
+                                          : CodeOfUnavailableReason(choice.unavailable_reason);
   const Duration retry_after =
-      choice.obstacle == Obstacle::kNoMap
+      choice.unavailable_reason == UnavailableReason::kNoMap
           ? kNoMapRetryAfter
           : RetryAfter(request, code, by_last_failure ? request.last_failure.backend : choice.about,
                        random, now);
--- a/src/core/forwarding/request_state.h
+++ b/src/core/forwarding/request_state.h
@@ -49,7 +49,7 @@
   /// Distinct back ends whose connection ended while the request was in progress there.
   std::vector<BackendStatePtr> lost_with;
   std::optional<quarantine::Fingerprint> fingerprint;
-  std::optional<DeniedAssignment> denied;
+  std::optional<RejectedAssignment> denied;
   LastFailure last_failure;
   SendCause next_cause = SendCause::kFirst;
 
--- a/src/core/forwarding/service_table.cc
+++ b/src/core/forwarding/service_table.cc
@@ -28,7 +28,7 @@
 constexpr Duration kMaxBackoff = absl::Hours(1);
 /// Minimum interval between reports of the admission level of a service.
 constexpr Duration kLevelReportInterval = absl::Seconds(1);
-/// Maximum number of state changes kept until the next TakeBeliefs; further ones are dropped.
+/// Maximum number of state changes kept until the next TakeStateChanges; further ones are dropped.
 constexpr size_t kMaxStateChanges = 1000;
 
 /// Up to this many new back ends are inserted one by one; more are merged.
@@ -42,7 +42,7 @@
 }
 
 /// Returns the maximum age of the change, as text for the detail of a state change.
-std::string AgeOf(const RegistrationNews& news, Time now) {
+std::string AgeOf(const RegistrationUpdate& news, Time now) {
   const Duration age = now - news.changed_after;
   return age == absl::InfiniteDuration()
              ? ", time of the change unknown"
@@ -61,7 +61,7 @@
 }  // namespace
 
 void ServiceTable::ChangeBackends(const catalog::BackendChanges& changes,
-                                  const RegistrationNews& news, Time now) {
+                                  const RegistrationUpdate& news, Time now) {
   const size_t registered_before = registered_count_;
   std::vector<BackendStatePtr> added;
   registrations_examined_ += changes.set.size() + changes.gone.size();
@@ -123,7 +123,7 @@
   }
 }
 
-void ServiceTable::Update(const catalog::Backend& backend, const RegistrationNews& news,
+void ServiceTable::Update(const catalog::Backend& backend, const RegistrationUpdate& news,
                           BackendState& state, Time now) {
   catalog::Backend previous = std::exchange(state.registration, backend);
   // What the back end reported itself is more recent than its registration, which comes through the
@@ -209,12 +209,12 @@
   state.backoff_until = until;
 }
 
-void ServiceTable::MarkDeregistered(const RegistrationNews& news, bool may_have_expired,
+void ServiceTable::MarkDeregistered(const RegistrationUpdate& news, bool may_have_expired,
                                     BackendState& state, Time now) {
   state.registered = false;
   --registered_count_;
   state.deregistered_at = now;
-  const Duration grace = news.store_troubled ? settings_.lapse_grace : settings_.drain_grace;
+  const Duration grace = news.store_troubled ? settings_.expiry_grace : settings_.drain_grace;
   const Time last = may_have_expired ? absl::InfiniteFuture()
                                      : news.changed_after + settings_.drain_time - kTransitReserve;
   StopNewWork(std::min(now + grace, last),
@@ -316,7 +316,9 @@
   return services;
 }
 
-std::vector<BackendBelief> ServiceTable::TakeBeliefs() { return std::exchange(state_changes_, {}); }
+std::vector<BackendStateChange> ServiceTable::TakeStateChanges() {
+  return std::exchange(state_changes_, {});
+}
 
 void ServiceTable::RecordAdmissionLevel(ServiceState& service, Time now) {
   const uint32_t level = service.admission.level();
--- a/src/core/forwarding/service_table.h
+++ b/src/core/forwarding/service_table.h
@@ -39,7 +39,7 @@
   explicit ServiceTable(const DispatcherSettings& settings) : settings_(settings) {}
 
   /// See Dispatcher::ChangeBackends.
-  void ChangeBackends(const catalog::BackendChanges& changes, const RegistrationNews& news,
+  void ChangeBackends(const catalog::BackendChanges& changes, const RegistrationUpdate& news,
                       Time now);
 
   /// Records that the back end itself reported being cold for `time_left` from now on.
@@ -59,7 +59,7 @@
   std::vector<ServiceState*> Services();
   /// Returns the number of back ends examined by all registration changes so far.
   uint64_t registrations_examined() const { return registrations_examined_; }
-  std::vector<BackendBelief> TakeBeliefs();
+  std::vector<BackendStateChange> TakeStateChanges();
   void AddStateChange(const BackendState& backend, std::string event, std::string detail);
   /// Reports a change of the rank at which requests begin to be turned away. Rate-limited, so that
   /// not every wave of requests is reported.
@@ -69,11 +69,11 @@
   BackendStatePtr Register(const catalog::Backend& backend);
   /// Ends earlier incarnations: the registration of `backend` proves that they have stopped.
   void EndEarlierIncarnations(const catalog::Backend& backend);
-  void Update(const catalog::Backend& backend, const RegistrationNews& news, BackendState& state,
+  void Update(const catalog::Backend& backend, const RegistrationUpdate& news, BackendState& state,
               Time now);
   /// `may_have_expired` is true when so many registrations disappeared at once that the store may
   /// have lost them by mistake.
-  void MarkDeregistered(const RegistrationNews& news, bool may_have_expired, BackendState& state,
+  void MarkDeregistered(const RegistrationUpdate& news, bool may_have_expired, BackendState& state,
                         Time now);
   /// Adds the new back ends to the lists of their services.
   void List(const std::vector<BackendStatePtr>& added);
@@ -94,7 +94,7 @@
   /// The deregistered back ends in `backends_`, by the time of the next check for removal. May
   /// contain some that have registered again.
   std::multimap<Time, BackendStatePtr> deregistered_;
-  std::vector<BackendBelief> state_changes_;
+  std::vector<BackendStateChange> state_changes_;
   uint64_t registrations_examined_ = 0;
 };
 
--- a/src/core/membership/membership.h
+++ b/src/core/membership/membership.h
@@ -105,7 +105,7 @@
 struct SuspectsReceivedAction {
   std::vector<quarantine::SuspectRecord> suspects;
 };
-/// Another node reported limits of back ends: input of Dispatcher::OnLimitsHeard.
+/// Another node reported limits of back ends: input of Dispatcher::OnLimitsReceived.
 struct LimitsReceivedAction {
   std::vector<allowance::LimitRecord> limits;
 };
--- a/src/core/ownership/backend_directory.cc
+++ b/src/core/ownership/backend_directory.cc
@@ -316,7 +316,7 @@
       return true;
     }
     const Duration unresponsive_timeout =
-        known.only_refused ? settings_.refusal_patience : settings_.silence_patience;
+        known.only_refused ? settings_.connection_refused_timeout : settings_.unresponsive_timeout;
     if (known.unresponsive || known.failures < kUnresponsiveFailures ||
         now - known.failing_since < unresponsive_timeout) {
       return false;
@@ -337,9 +337,9 @@
     if (known.unresponsive) {
       next = std::min(next, known.excluded_until);
     } else if (known.failures >= kUnresponsiveFailures) {
-      next =
-          std::min(next, known.failing_since + (known.only_refused ? settings_.refusal_patience
-                                                                   : settings_.silence_patience));
+      next = std::min(
+          next, known.failing_since + (known.only_refused ? settings_.connection_refused_timeout
+                                                          : settings_.unresponsive_timeout));
     }
   }
   return next;
--- a/src/core/ownership/coordinator.cc
+++ b/src/core/ownership/coordinator.cc
@@ -48,7 +48,7 @@
     ReportStateChange(state_change::kBackendEnded,
                       absl::StrCat(ended, " was replaced by a newer back end at its address"));
   }
-  if (directory_.RemembersMany()) {
+  if (directory_.NeedsPruning()) {
     ForgetUnneededBackends();
   }
   if (found.any) {
@@ -70,7 +70,7 @@
       needed.insert(release.backend);
     }
   }
-  directory_.ForgetUnneeded(needed);
+  directory_.PruneUnregistered(needed);
 }
 
 void Coordinator::Impl::OnHeartbeat(const LeaseView& view, Time now) {
@@ -165,7 +165,7 @@
 
 void Coordinator::Impl::OnOrderReply(CallId call, const OrderReply& reply, Time now) {
   const std::optional<Order> order = orders_.Take(call);
-  if (!order || (order->given_up && reply.status == OrderStatus::kNoAnswer)) {
+  if (!order || (order->timed_out && reply.status == OrderStatus::kNoAnswer)) {
     return;
   }
   if (reply.status != OrderStatus::kDone || order->kind == Order::Kind::kRelease ||
@@ -231,7 +231,7 @@
     FinishReleases(service, now);
     RunPartitioner(service, now);
     MergeFencesIfSettled(service, now);
-    service.table.MergeNeighbours();
+    service.table.MergeAdjacent();
   }
   SendOrders(now);
   PublishIfChanged();
@@ -289,7 +289,7 @@
   if (!renewed_for_degraded_store_) {
     wake = std::min(wake, chain_.confirmed_sent() + 2 * settings_.lease_renewal);
   }
-  wake = std::min(wake, directory_.NextSilence());
+  wake = std::min(wake, directory_.NextUnresponsiveCheck());
   for (const auto& [name, service] : services_) {
     if (IsListed(name)) {
       wake = std::min(wake, ServiceWake(service, now));
--- a/src/core/ownership/coordinator_moves.cc
+++ b/src/core/ownership/coordinator_moves.cc
@@ -49,7 +49,7 @@
 }
 
 void Coordinator::Impl::ReportUnresponsiveBackends(Time now) {
-  for (const std::string& backend : directory_.TakeSilent(now)) {
+  for (const std::string& backend : directory_.TakeNewlyUnresponsive(now)) {
     ReportStateChange(state_change::kOwnerSilent, backend);
     RunAllPartitionersSoon(now);
   }
--- a/src/node/load_exchange.cc
+++ b/src/node/load_exchange.cc
@@ -25,11 +25,11 @@
     report.includes_wait.push_back(sample.includes_wait ? 1 : 0);
   }
   if (load.not_owner_key) {
-    report.denied_keys.push_back(*load.not_owner_key);
+    report.rejected_keys.push_back(*load.not_owner_key);
   }
   for (const load::BackendDecline& declined : load.declined) {
     report.declined_by.push_back(declined.backend);
-    report.rest_ms.push_back(static_cast<uint32_t>(absl::ToInt64Milliseconds(declined.backoff)));
+    report.backoff_ms.push_back(static_cast<uint32_t>(absl::ToInt64Milliseconds(declined.backoff)));
   }
   return report;
 }
@@ -79,12 +79,12 @@
                      ownership::Coordinator* coordinator) {
   for (const membership::LoadReport& report : reports) {
     coordinator->OnLoad(report.service, CountsOf(report), SamplesOf(report), now);
-    const size_t declined = std::min(report.declined_by.size(), report.rest_ms.size());
+    const size_t declined = std::min(report.declined_by.size(), report.backoff_ms.size());
     for (size_t i = 0; i < declined; ++i) {
       coordinator->OnOwnerDeclined(report.service, report.declined_by[i],
-                                   absl::Milliseconds(report.rest_ms[i]), now);
+                                   absl::Milliseconds(report.backoff_ms[i]), now);
     }
-    for (const uint32_t key : report.denied_keys) {
+    for (const uint32_t key : report.rejected_keys) {
       coordinator->OnNotOwner(report.service, key, now);
     }
   }
--- a/src/observability/belief_log.h
+++ b/src/observability/belief_log.h
@@ -53,9 +53,9 @@
   /// The registrations changed. Writes a line only if their ids or states did.
   void OnBackends(const catalog::BackendChanges& changes, uint64_t store_version, Duration age,
                   std::string_view source);
-  void OnBackendBelief(const forwarding::BackendBelief& belief);
+  void OnBackendBelief(const forwarding::BackendStateChange& belief);
   /// Those that changed together; many registrations make one line.
-  void OnBackendBeliefs(const std::vector<forwarding::BackendBelief>& beliefs);
+  void OnBackendBeliefs(const std::vector<forwarding::BackendStateChange>& beliefs);
   void OnCoordinatorBelief(const ownership::StateChangeAction& belief);
 
   /// Each call of the store tells whether it was reached; lines are written when that changes.
--- a/tests/unit/forwarding/sharded_test.cc
+++ b/tests/unit/forwarding/sharded_test.cc
@@ -51,7 +51,7 @@
   Own("s-1", {{0, 100}});
   Begin();
   Advance(absl::Milliseconds(30));
-  BOOST_TEST(Quiet());
+  BOOST_TEST(HasNoDecisions());
   BOOST_TEST(dispatcher.RequestsWaiting() == 1U);
   Own("s-2");
   BOOST_TEST(Only<SendDecision>().backend == "s-2");
@@ -63,7 +63,7 @@
   Begin();
   const Time start = now;
   Advance(absl::Milliseconds(99));
-  BOOST_TEST(Quiet());
+  BOOST_TEST(HasNoDecisions());
   Advance(absl::Milliseconds(2));
   const auto answer = Only<AnswerDecision>();
   BOOST_TEST(answer.status == 503);
@@ -76,7 +76,7 @@
   const SendDecision first = Send();
   Sent(first);
   Answer(first, 421);
-  BOOST_TEST(Quiet());
+  BOOST_TEST(HasNoDecisions());
   BOOST_REQUIRE_EQUAL(dispatcher.TakeLoad().at(0).not_owner_key.value_or(0), kKey);
   Own("s-2");
   const auto second = Only<SendDecision>();
@@ -108,7 +108,7 @@
   const SendDecision first = Send();
   Fail(first, AttemptFailure::kConnectRefused);
   Begin();
-  BOOST_TEST(Quiet());
+  BOOST_TEST(HasNoDecisions());
   Advance(absl::Milliseconds(101));
   std::vector<AnswerDecision> answers;
   for (const RequestDecision& decision : dispatcher.TakeDecisions()) {
@@ -139,14 +139,14 @@
   AddBackend(backend);
   Own("s-3");
   Begin();
-  BOOST_TEST(Quiet());
+  BOOST_TEST(HasNoDecisions());
 }
 
 BOOST_AUTO_TEST_CASE(owner_registered_for_another_service_is_not_used) {
   AddBackends("cards", {"c-1"});
   Own("c-1");
   Begin();
-  BOOST_TEST(Quiet());
+  BOOST_TEST(HasNoDecisions());
 }
 
 BOOST_AUTO_TEST_CASE(request_is_sent_to_a_full_owner_once_a_slot_is_free) {
@@ -155,7 +155,7 @@
   const SendDecision refused = Send();
   Sent(refused);
   Refuse(refused);
-  BOOST_TEST(Quiet());
+  BOOST_TEST(HasNoDecisions());
   Answer(first, 200, 2, 4);
   const auto decisions = dispatcher.TakeDecisions();
   BOOST_REQUIRE_EQUAL(decisions.size(), 2U);
--- a/tests/unit/ownership/ownership_test.cc
+++ b/tests/unit/ownership/ownership_test.cc
@@ -63,7 +63,7 @@
 BOOST_AUTO_TEST_CASE(AnAddressUsedByAnotherServiceProvesThatTheOwnerEnded) {
   Holding holding({"a", "b"});
   Harness& node = holding.node;
-  node.silent.insert("a");
+  node.unresponsive.insert("a");
   node.Register({"b"}, {{"other", {"a", 1}}});
   const Time registered_at = node.now;
   node.Run(absl::Milliseconds(100));
@@ -79,9 +79,9 @@
   node.Register({"a", "b"});
   node.Register({"a", "b", "c"});
   node.Register({"a", "b", "c"}, {{"other", {"c", 1}}});
-  for (const At<BeliefAction>& belief : node.beliefs) {
-    const bool of_c = belief.sent.detail.starts_with("c ");
-    BOOST_TEST(!(belief.sent.event == belief::kBackendEnded && of_c));
+  for (const At<StateChangeAction>& state_change : node.state_changes) {
+    const bool of_c = state_change.sent.detail.starts_with("c ");
+    BOOST_TEST(!(state_change.sent.event == state_change::kBackendEnded && of_c));
   }
 }
 
@@ -100,16 +100,16 @@
 };
 
 BOOST_FIXTURE_TEST_CASE(PartitioningWithoutRequestsWaitsForRegistrationsToSettle, Arrival) {
-  BOOST_TEST(!node.Believed(belief::kServicePartitioned));
+  BOOST_TEST(!node.Reported(state_change::kServicePartitioned));
   node.Run(node.settings.registration_settle);
-  BOOST_TEST(node.Believed(belief::kServicePartitioned));
+  BOOST_TEST(node.Reported(state_change::kServicePartitioned));
 }
 
 BOOST_FIXTURE_TEST_CASE(RequestedKeysArePartitionedAtOnce, Arrival) {
   node.coordinator.OnLoad(Harness::kService, {{7, 1}}, {}, node.now);
   node.coordinator.OnTick(node.now);
   node.Drain();
-  BOOST_TEST(node.Believed(belief::kServicePartitioned));
+  BOOST_TEST(node.Reported(state_change::kServicePartitioned));
 }
 
 BOOST_AUTO_TEST_CASE(APlannedMoveReleasesWithTheNextFenceAndHandsOver) {
@@ -138,13 +138,13 @@
 BOOST_AUTO_TEST_CASE(KeysAreListedAsMovingUntilTheNewOwnerConfirms) {
   Holding holding({"a", "b"});
   Harness& node = holding.node;
-  node.silent.insert("b");
+  node.unresponsive.insert("b");
   partition::Script().next = {{{100, 199}, "b"}};
   node.Run(absl::Milliseconds(450));
   BOOST_TEST(node.OwnerOf(150) == "b");
   BOOST_TEST(node.IsMoving(150));
   BOOST_TEST(!node.IsMoving(99));
-  node.silent.clear();
+  node.unresponsive.clear();
   node.Run(absl::Milliseconds(450));
   BOOST_TEST(!node.IsMoving(150));
 }
@@ -152,10 +152,10 @@
 BOOST_AUTO_TEST_CASE(KeysOfAnUnresponsiveOwnerMoveAfterItsHoldAndReleasesGoOn) {
   Holding holding({"a", "b"});
   Harness& node = holding.node;
-  node.silent.insert("a");
+  node.unresponsive.insert("a");
   const Time unresponsive_since = node.now;
   node.Run(absl::Seconds(3));
-  BOOST_REQUIRE(node.Believed(belief::kOwnerSilent));
+  BOOST_REQUIRE(node.Reported(state_change::kOwnerSilent));
   Time last_grant = absl::InfinitePast();
   for (const At<GrantAction>& grant : node.GrantsSince(unresponsive_since)) {
     last_grant = grant.sent.backend == "a" ? grant.at : last_grant;
@@ -189,7 +189,7 @@
   settings.hold_renewal = absl::Milliseconds(300);
   Holding holding({"a", "b"}, settings);
   Harness& node = holding.node;
-  node.silent.insert("a");
+  node.unresponsive.insert("a");
   const Time unresponsive_since = node.now;
   while (node.OwnerOf(0) == "a" && node.now < unresponsive_since + absl::Seconds(10)) {
     node.Run(absl::Milliseconds(10));
@@ -203,7 +203,7 @@
   settings.hold_renewal = absl::Milliseconds(300);
   Holding holding({"a", "b"}, settings);
   Harness successor(&holding.store, 2, 1, holding.node.now, settings);
-  successor.silent.insert("a");
+  successor.unresponsive.insert("a");
   successor.Register({"b"});
   successor.Run(absl::Milliseconds(200));
   const Time taken_over = successor.commits.front().at;
@@ -228,7 +228,7 @@
   BOOST_TEST(partition::Script().next.empty());
   BOOST_TEST(node.releases.empty());
   BOOST_TEST(!node.IsMoving(0));
-  BOOST_TEST(node.Believed(belief::kMovesPutOff));
+  BOOST_TEST(node.Reported(state_change::kMovesPutOff));
   // Keys of a deregistered owner are moved all the same, because the move cannot make them less
   // available.
   node.Register({"b"});
@@ -245,7 +245,7 @@
 BOOST_AUTO_TEST_CASE(AnEndedOwnerIsNotWaitedFor) {
   Holding holding({"a.1", "b"});
   Harness& node = holding.node;
-  node.silent.insert("a.1");
+  node.unresponsive.insert("a.1");
   node.coordinator.OnBackendEnded("a.1", node.now);
   node.Drain();
   node.Run(absl::Milliseconds(100));
@@ -256,7 +256,7 @@
 BOOST_AUTO_TEST_CASE(ANewerBackEndAtItsAddressProvesThatAnOwnerEnded) {
   Holding holding({"a.1", "b"});
   Harness& node = holding.node;
-  node.silent.insert("a.1");
+  node.unresponsive.insert("a.1");
   node.Register({"a.1", "a.2", "b"});
   node.Run(absl::Milliseconds(100));
   BOOST_TEST(node.OwnerOf(0) != "a.1");
@@ -266,7 +266,7 @@
 BOOST_AUTO_TEST_CASE(ADeregisteredOwnerIsReleasedAndNotRenewed) {
   Holding holding({"a", "b"});
   Harness& node = holding.node;
-  node.silent.insert("a");
+  node.unresponsive.insert("a");
   const Time vanished = node.now;
   node.Register({"b"});
   node.Run(absl::Seconds(2));
@@ -275,7 +275,7 @@
   }
   BOOST_TEST(node.OwnerOf(0) == "a");
   BOOST_TEST(node.IsMoving(0));
-  node.silent.clear();
+  node.unresponsive.clear();
   node.Run(absl::Milliseconds(450));
   BOOST_TEST(node.OwnerOf(0) == "b");
 }
@@ -283,10 +283,10 @@
 BOOST_AUTO_TEST_CASE(AFencedOwnerGetsANewFenceAndNeverTheOldOneAgain) {
   Holding holding({"a"});
   Harness& node = holding.node;
-  node.silent.insert("a");
+  node.unresponsive.insert("a");
   node.Run(node.settings.hold_renewal);
   const GrantAction refused = node.grants.back().sent;
-  node.silent.clear();
+  node.unresponsive.clear();
   node.store_answers = false;
   const Time fenced = node.now;
   node.coordinator.OnOrderReply(refused.call, {OrderStatus::kFenced, ""}, node.now);
@@ -307,7 +307,7 @@
   node.Run(absl::Milliseconds(100));
   const Time denied = node.now;
   for (int i = 0; i < 10; ++i) {
-    node.coordinator.OnOwnerDenied(Harness::kService, 5, node.now);
+    node.coordinator.OnNotOwner(Harness::kService, 5, node.now);
     node.Drain();
     node.Run(absl::Milliseconds(1));
   }
@@ -321,24 +321,24 @@
   Harness& node = holding.node;
   partition::Script().next = {{{100, 199}, "b"}};
   node.store_answers = false;
-  node.store_mute = true;
+  node.store_loses_answers = true;
   node.Run(absl::Milliseconds(500));
   BOOST_TEST(node.OwnerOf(150) == "a");
   node.store_answers = true;
   node.Run(absl::Seconds(1));
   BOOST_TEST(node.OwnerOf(150) == "b");
-  BOOST_TEST(!node.Believed(belief::kLeaseLost));
+  BOOST_TEST(!node.Reported(state_change::kLeaseLost));
 }
 
 BOOST_AUTO_TEST_CASE(KeysThatGoBackToTheirOwnerGetAFenceAboveThatOfTheRelease) {
   Holding holding({"a", "b"});
   Harness& node = holding.node;
-  node.silent.insert("a");
+  node.unresponsive.insert("a");
   partition::Script().next = {{{100, 199}, "b"}};
   node.Run(absl::Milliseconds(450));
   const Fence released = node.releases.front().sent.fence;
   node.Register({"a"});
-  node.silent.clear();
+  node.unresponsive.clear();
   const Time answers = node.now;
   node.Run(absl::Seconds(1));
   const auto granted = node.GrantsSince(answers);
@@ -353,18 +353,18 @@
 BOOST_AUTO_TEST_CASE(AReleaseWaitsForAnOpenRenewal) {
   Holding holding({"a", "b"});
   Harness& node = holding.node;
-  node.silent.insert("a");
+  node.unresponsive.insert("a");
   const size_t before = node.grants.size();
   while (node.grants.size() == before || node.grants.back().sent.backend != "a") {
     node.Run(absl::Milliseconds(1));
   }
   const GrantAction renewal = node.grants.back().sent;
   partition::Script().next = {{{100, 199}, "b"}};
-  while (!node.Believed(belief::kMoveStarted)) {
+  while (!node.Reported(state_change::kMoveStarted)) {
     node.Run(absl::Milliseconds(1));
   }
   BOOST_TEST(node.releases.empty());
-  node.silent.clear();
+  node.unresponsive.clear();
   node.coordinator.OnOrderReply(renewal.call, {OrderStatus::kDone, ""}, node.now);
   node.Drain();
   BOOST_TEST(node.releases.size() == 1U);
@@ -373,17 +373,17 @@
 BOOST_AUTO_TEST_CASE(AFencedOrderForAFullRangeDoesNotFenceTheRemainderOfIt) {
   Holding holding({"a", "b"});
   Harness& node = holding.node;
-  node.silent.insert("a");
+  node.unresponsive.insert("a");
   node.Run(node.settings.hold_renewal);
   const GrantAction full_grant = node.grants.back().sent;
   partition::Script().next = {{{100, 199}, "b"}};
   while (node.releases.empty()) {
     node.Run(absl::Milliseconds(1));
   }
-  node.silent.clear();
+  node.unresponsive.clear();
   node.coordinator.OnOrderReply(full_grant.call, {OrderStatus::kFenced, ""}, node.now);
   node.Drain();
-  BOOST_TEST(!node.Believed(belief::kOwnerFenced));
+  BOOST_TEST(!node.Reported(state_change::kOwnerFenced));
   BOOST_TEST(!node.IsMoving(99));
 }
 
@@ -392,7 +392,7 @@
   Harness& node = holding.node;
   partition::Script().next = {{{100, 199}, "b"}};
   node.store_answers = false;
-  node.store_mute = true;
+  node.store_loses_answers = true;
   node.Run(absl::Milliseconds(480));
   node.Register({"a", "c"});
   const Time deregistered_at = node.now;
@@ -418,7 +418,7 @@
 BOOST_AUTO_TEST_CASE(ABackEndHasAtMostTwoOpenOrders) {
   Holding holding({"a", "b"});
   Harness& node = holding.node;
-  node.silent.insert("a");
+  node.unresponsive.insert("a");
   for (Key first = 0; first < 1000; first += 100) {
     partition::Script().next.push_back({{first, first + 9}, "b"});
   }
@@ -434,7 +434,7 @@
   Harness& node = holding.node;
   partition::Script().next = {{{10000, 19999}, "b"}};
   node.Run(absl::Milliseconds(2100));
-  node.silent.insert("a");
+  node.unresponsive.insert("a");
   const Time unresponsive_since = node.now;
   const auto unanswered = [&node, unresponsive_since] {
     size_t count = 0;
@@ -449,9 +449,9 @@
   // Both orders to the back end are unanswered when this process pauses.
   node.now += absl::Seconds(5);
   node.Run(absl::Milliseconds(300));
-  node.silent.clear();
+  node.unresponsive.clear();
   node.Run(absl::Milliseconds(500));
-  BOOST_TEST(!node.Believed(belief::kOwnerSilent));
+  BOOST_TEST(!node.Reported(state_change::kOwnerSilent));
 }
 
 BOOST_AUTO_TEST_CASE(AdjacentRangesOfOneOwnerGetOneFenceWhenSettled) {
