--- a/src/core/forwarding/attempt_events.cc
+++ b/src/core/forwarding/attempt_events.cc
@@ -39,7 +39,7 @@
 /// Whether a request may have been lost because the back end is full. False when the back end
 /// recently reported a free slot.
 bool MayBeFull(const load::LoadEstimate& load, Time now) {
-  return load.ReportAge(now) > kReportFreshness || !HasRoom(load.told());
+  return load.ReportAge(now) > kReportFreshness || !HasRoom(load.reported());
 }
 
 /// Whether an answer received now arrives within the time limit of its attempt.
@@ -211,7 +211,7 @@
     // waits.
     backend.load.OnShed(answer.load, now);
   } else {
-    backend.load.OnTold(answer.load, now);
+    backend.load.OnReportedLoad(answer.load, now);
   }
   if (ended_immediately && !has_room) {
     // An owner that rejects with free slots is faulty, and a lower limit would not help: of the
--- a/src/core/forwarding/final_answer.cc
+++ b/src/core/forwarding/final_answer.cc
@@ -184,11 +184,11 @@
     return absl::StrCat(backend.registration.id, ", load untold, ", load.in_flight(), " from here",
                         limited);
   }
-  const double slowdown = load.told().slowdown;
+  const double slowdown = load.reported().slowdown;
   const std::string slowed = slowdown > 0 ? absl::StrFormat(" slowdown %.2f", slowdown) : "";
   return absl::StrFormat("%s, told running %u waiting %u%s %.0f ms ago, %u from here%s",
-                         backend.registration.id, load.told().running, load.told().waiting, slowed,
-                         absl::ToDoubleMilliseconds(load.ReportAge(now)), load.in_flight(),
+                         backend.registration.id, load.reported().running, load.reported().waiting,
+                         slowed, absl::ToDoubleMilliseconds(load.ReportAge(now)), load.in_flight(),
                          limited);
 }
 
