--- a/src/core/forwarding/final_answer.cc
+++ b/src/core/forwarding/final_answer.cc
@@ -233,8 +233,8 @@
                      const ownership::OwnershipMap* map, Time now) {
   std::string text =
       absl::StrCat(request.service->name, ": ", DescribeCause(request, choice, cause));
-  if (choice.about != nullptr) {
-    absl::StrAppend(&text, " (", DescribeLoad(*choice.about, request.sharded, now));
+  if (choice.blocking_backend != nullptr) {
+    absl::StrAppend(&text, " (", DescribeLoad(*choice.blocking_backend, request.sharded, now));
     if (choice.limit.has_value()) {
       absl::StrAppendFormat(&text, ", %.3g requests a second from all nodes, told %.0f ms ago",
                             choice.limit->rate.value_or(0),
@@ -289,7 +289,8 @@
   const Duration retry_after =
       choice.unavailable_reason == UnavailableReason::kNoMap
           ? kNoMapRetryAfter
-          : RetryAfter(request, code, by_last_failure ? request.last_failure.backend : choice.about,
+          : RetryAfter(request, code,
+                       by_last_failure ? request.last_failure.backend : choice.blocking_backend,
                        random, now);
   return MakeAnswer(code, retry_after, std::move(reason));
 }
