--- a/src/core/store/table_follower.cc
+++ b/src/core/store/table_follower.cc
@@ -256,7 +256,8 @@
     return;
   }
   if (version > as_of_) {
-    // Only one gap is kept: copies older than the end of the previous gap must read the store.
+    // Only one gap is kept: copies older than the end of the previous gap must watch the
+    // store themselves.
     removals_.ForgetUpTo(gap_last_);
     gap_first_ = as_of_;
     gap_last_ = version;
