--- a/src/core/forwarding/attempt_events.cc
+++ b/src/core/forwarding/attempt_events.cc
@@ -145,9 +145,9 @@
     services_.RecordCold(*answer.cold_left, backend, now);
   }
   if (answer.backoff.has_value()) {
-    const bool rested = backend.InBackoff(now);
+    const bool was_in_backoff = backend.InBackoff(now);
     services_.RecordBackoff(*answer.backoff, backend, now);
-    if (!rested && HasRoom(answer.load)) {
+    if (!was_in_backoff && HasRoom(answer.load)) {
       attempt.service->load.AddDeclined(backend.registration.id, *answer.backoff);
     }
   }
--- a/src/core/forwarding/service_table.cc
+++ b/src/core/forwarding/service_table.cc
@@ -42,8 +42,8 @@
 }
 
 /// Returns the maximum age of the change, as text for the detail of a state change.
-std::string AgeOf(const RegistrationUpdate& news, Time now) {
-  const Duration age = now - news.changed_after;
+std::string AgeOf(const RegistrationUpdate& update, Time now) {
+  const Duration age = now - update.changed_after;
   return age == absl::InfiniteDuration()
              ? ", time of the change unknown"
              : absl::StrCat(", at most ", absl::ToInt64Milliseconds(age), " ms ago");
@@ -61,7 +61,7 @@
 }  // namespace
 
 void ServiceTable::ChangeBackends(const catalog::BackendChanges& changes,
-                                  const RegistrationUpdate& news, Time now) {
+                                  const RegistrationUpdate& update, Time now) {
   const size_t registered_before = registered_count_;
   std::vector<BackendStatePtr> added;
   registrations_examined_ += changes.set.size() + changes.gone.size();
@@ -76,16 +76,16 @@
       Unlist(state);
       added.push_back(state);
     }
-    Update(backend, news, *state, now);
+    Update(backend, update, *state, now);
   }
   const auto deregistered_count = static_cast<double>(changes.gone.size());
   const bool may_have_expired =
-      news.store_troubled &&
+      update.store_troubled &&
       deregistered_count >= kMassExpiryShare * static_cast<double>(registered_before);
   for (const std::string& id : changes.gone) {
     const auto known = backends_.find(id);
     if (known != backends_.end() && known->second->registered) {
-      MarkDeregistered(news, may_have_expired, *known->second, now);
+      MarkDeregistered(update, may_have_expired, *known->second, now);
       deregistered_.emplace(RetainedUntil(*known->second), known->second);
     }
   }
@@ -123,7 +123,7 @@
   }
 }
 
-void ServiceTable::Update(const catalog::Backend& backend, const RegistrationUpdate& news,
+void ServiceTable::Update(const catalog::Backend& backend, const RegistrationUpdate& update,
                           BackendState& state, Time now) {
   catalog::Backend previous = std::exchange(state.registration, backend);
   // What the back end reported itself is more recent than its registration, which comes through the
@@ -158,14 +158,15 @@
   // The grace times start on receipt of the update; the time of the change bounds them, so that a
   // late update does not extend them.
   if (backend.draining) {
-    const Time last = news.changed_after + settings_.drain_time - kTransitReserve;
+    const Time last = update.changed_after + settings_.drain_time - kTransitReserve;
     StopNewWork(std::min(now + settings_.drain_grace, last),
                 std::min(now + settings_.drain_serving, last), state);
-    AddStateChange(state, "draining", absl::StrCat("marked in its registration", AgeOf(news, now)));
+    AddStateChange(state, "draining",
+                   absl::StrCat("marked in its registration", AgeOf(update, now)));
   } else {
-    const Time last = news.changed_after + settings_.evacuation_time - kTransitReserve;
+    const Time last = update.changed_after + settings_.evacuation_time - kTransitReserve;
     StopNewWork(now, std::min(now + settings_.evacuation_serving, last), state);
-    AddStateChange(state, "evacuated", absl::StrCat(backend.zone, AgeOf(news, now)));
+    AddStateChange(state, "evacuated", absl::StrCat(backend.zone, AgeOf(update, now)));
   }
 }
 
@@ -209,20 +210,21 @@
   state.backoff_until = until;
 }
 
-void ServiceTable::MarkDeregistered(const RegistrationUpdate& news, bool may_have_expired,
+void ServiceTable::MarkDeregistered(const RegistrationUpdate& update, bool may_have_expired,
                                     BackendState& state, Time now) {
   state.registered = false;
   --registered_count_;
   state.deregistered_at = now;
-  const Duration grace = news.store_troubled ? settings_.expiry_grace : settings_.drain_grace;
-  const Time last = may_have_expired ? absl::InfiniteFuture()
-                                     : news.changed_after + settings_.drain_time - kTransitReserve;
+  const Duration grace = update.store_troubled ? settings_.expiry_grace : settings_.drain_grace;
+  const Time last = may_have_expired
+                        ? absl::InfiniteFuture()
+                        : update.changed_after + settings_.drain_time - kTransitReserve;
   StopNewWork(std::min(now + grace, last),
               std::min(now + std::max(settings_.drain_serving, grace), last), state);
-  AddStateChange(
-      state, "gone",
-      absl::StrCat("its registration disappeared",
-                   news.store_troubled ? " while store calls were failing" : "", AgeOf(news, now)));
+  AddStateChange(state, "gone",
+                 absl::StrCat("its registration disappeared",
+                              update.store_troubled ? " while store calls were failing" : "",
+                              AgeOf(update, now)));
 }
 
 void ServiceTable::List(const std::vector<BackendStatePtr>& added) {
--- a/src/core/forwarding/service_table.h
+++ b/src/core/forwarding/service_table.h
@@ -39,7 +39,7 @@
   explicit ServiceTable(const DispatcherSettings& settings) : settings_(settings) {}
 
   /// See Dispatcher::ChangeBackends.
-  void ChangeBackends(const catalog::BackendChanges& changes, const RegistrationUpdate& news,
+  void ChangeBackends(const catalog::BackendChanges& changes, const RegistrationUpdate& update,
                       Time now);
 
   /// Records that the back end itself reported being cold for `time_left` from now on.
@@ -69,12 +69,12 @@
   BackendStatePtr Register(const catalog::Backend& backend);
   /// Ends earlier incarnations: the registration of `backend` proves that they have stopped.
   void EndEarlierIncarnations(const catalog::Backend& backend);
-  void Update(const catalog::Backend& backend, const RegistrationUpdate& news, BackendState& state,
-              Time now);
+  void Update(const catalog::Backend& backend, const RegistrationUpdate& update,
+              BackendState& state, Time now);
   /// `may_have_expired` is true when so many registrations disappeared at once that the store may
   /// have lost them by mistake.
-  void MarkDeregistered(const RegistrationUpdate& news, bool may_have_expired, BackendState& state,
-                        Time now);
+  void MarkDeregistered(const RegistrationUpdate& update, bool may_have_expired,
+                        BackendState& state, Time now);
   /// Adds the new back ends to the lists of their services.
   void List(const std::vector<BackendStatePtr>& added);
   /// Removes back ends whose retention time has passed.
--- a/tests/unit/drain_bound/leaving_owner_test.cc
+++ b/tests/unit/drain_bound/leaving_owner_test.cc
@@ -4,9 +4,9 @@
 // The store cut the coordinator off just as an owner left. Its word counted for another 1.5 s; then
 // 283 of 295 nodes heard the news by watches of their own, up to 1.65 s late, and each gave the
 // owner 1.8 s more, counted from hearing, to let its keys move. The coordinator could not move them
-// ("belief=store_write_failed ... no answer in time"), so requests reached the owner 3.06 s after
-// the store had taken that it leaves, with 3 s allowed ("backends_changed ... draining=230 ...
-// cause=store" at 21.48 s, the requests at 23.11 s, the leave at 20.05 s).
+// ("belief=store_write_failed ... no answer from the store within <time-out>"), so requests reached
+// the owner 3.06 s after the store had taken that it leaves, with 3 s allowed ("backends_changed
+// ... draining=230 ... cause=store" at 21.48 s, the requests at 23.11 s, the leave at 20.05 s).
 #include <boost/test/unit_test.hpp>
 #include <memory>
 #include <vector>
--- a/tests/unit/forwarding/choice_test.cc
+++ b/tests/unit/forwarding/choice_test.cc
@@ -114,8 +114,8 @@
     BOOST_TEST(StartAndSend("/cards/1").backend != first.backend);
   }
   bool ejected = false;
-  for (const BackendStateChange& belief : dispatcher.TakeStateChanges()) {
-    ejected = ejected || (belief.event == "ejected" && belief.backend == first.backend);
+  for (const BackendStateChange& change : dispatcher.TakeStateChanges()) {
+    ejected = ejected || (change.event == "ejected" && change.backend == first.backend);
   }
   BOOST_TEST(ejected);
 }
--- a/tests/unit/forwarding/overload_test.cc
+++ b/tests/unit/forwarding/overload_test.cc
@@ -93,9 +93,9 @@
   Run(100, 20);
   BOOST_TEST(dispatcher.MinAdmissionShare() < 1);
   std::vector<std::string> events;
-  for (const BackendStateChange& belief : dispatcher.TakeStateChanges()) {
-    if (belief.backend == "cards") {
-      events.push_back(belief.event);
+  for (const BackendStateChange& change : dispatcher.TakeStateChanges()) {
+    if (change.backend == "cards") {
+      events.push_back(change.event);
     }
   }
   BOOST_REQUIRE_EQUAL(events.size(), 1U);
--- a/tests/unit/requested_rest/requested_rest_test.cc
+++ b/tests/unit/requested_rest/requested_rest_test.cc
@@ -8,7 +8,7 @@
 //
 //   up=13.98 request_sent backend=i-04d3a27300 send_cause=first
 //            attempt_answered status=503 not_executed=1
-//   up=14.39 backend_belief belief=ejected detail="refuses though it has free slots, for 1s"
+//   up=14.39 backend_belief belief=ejected detail="rejected a request despite free slots, for 1s"
 //   up=14.58 request_sent backend=i-04d3a27300 send_cause=first
 //   up=14.61 request_sent_again backend=i-04d3a27300 send_cause=refusal
 #include <boost/test/unit_test.hpp>
