--- a/src/core/forwarding/attempt_events.cc
+++ b/src/core/forwarding/attempt_events.cc
@@ -237,8 +237,9 @@
     return;
   }
   if (request.sharded) {
-    request.last_failure.kind = FailureKind::kDenied;
-    request.denied = RejectedAssignment{attempt.backend->registration.id, attempt.fence};
+    request.last_failure.kind = FailureKind::kNotOwner;
+    request.rejected_assignment =
+        RejectedAssignment{attempt.backend->registration.id, attempt.fence};
     request.service->load.SetNotOwnerKey(*request.key);
     services_.AddStateChange(*attempt.backend, "denied",
                              absl::StrCat("key ", *request.key, ", fence ", attempt.fence));
--- a/src/core/forwarding/deadlines.cc
+++ b/src/core/forwarding/deadlines.cc
@@ -82,8 +82,8 @@
     const Attempt& slow = attempts_.at(request.in_flight.front());
     std::vector<BackendStatePtr> others = request.failed;
     others.push_back(slow.backend);
-    const ChoiceContext context{*request.service, request.key,      others,
-                                request.denied,   request.start_by, now};
+    const ChoiceContext context{*request.service, request.key, others, request.rejected_assignment,
+                                request.start_by, now};
     const Choice choice = guarded_least_wait_.Choose(context);
     if (choice.backend != nullptr) {
       const load::LoadEstimate& load = choice.backend->load;
--- a/src/core/forwarding/dispatch.cc
+++ b/src/core/forwarding/dispatch.cc
@@ -64,8 +64,9 @@
 }
 
 Choice Dispatcher::Impl::ChooseOnce(const Request& request, Time now) {
-  const ChoiceContext context{*request.service, request.key,      request.failed,
-                              request.denied,   request.start_by, now};
+  const ChoiceContext context{*request.service, request.key,
+                              request.failed,   request.rejected_assignment,
+                              request.start_by, now};
   return request.sharded ? guarded_owner_.Choose(context) : guarded_least_wait_.Choose(context);
 }
 
--- a/src/core/forwarding/final_answer.cc
+++ b/src/core/forwarding/final_answer.cc
@@ -70,7 +70,7 @@
       return "none";
     case FailureKind::kRefused:
       return "refused";
-    case FailureKind::kDenied:
+    case FailureKind::kNotOwner:
       return "disowned the key";
     case FailureKind::kUnreachable:
       return "unreachable";
@@ -113,7 +113,7 @@
   switch (kind) {
     case FailureKind::kRefused:
       return ResultCode::kBackendShed;
-    case FailureKind::kDenied:
+    case FailureKind::kNotOwner:
       return ResultCode::kOwnerChanged;
     default:
       return ResultCode::kBackendUnreachable;
--- a/src/core/forwarding/request_state.h
+++ b/src/core/forwarding/request_state.h
@@ -13,7 +13,7 @@
 namespace ladderstream::forwarding {
 
 /// How the most recently ended attempt of a request failed.
-enum class FailureKind { kNone, kRefused, kDenied, kUnreachable, kNotSent, kLost, kUnclear };
+enum class FailureKind { kNone, kRefused, kNotOwner, kUnreachable, kNotSent, kLost, kUnclear };
 
 struct LastFailure {
   FailureKind kind = FailureKind::kNone;
@@ -49,7 +49,7 @@
   /// Distinct back ends whose connection ended while the request was in progress there.
   std::vector<BackendStatePtr> lost_with;
   std::optional<quarantine::Fingerprint> fingerprint;
-  std::optional<RejectedAssignment> denied;
+  std::optional<RejectedAssignment> rejected_assignment;
   LastFailure last_failure;
   SendCause next_cause = SendCause::kFirst;
 
