--- a/tests/unit/forwarding/cold_test.cc
+++ b/tests/unit/forwarding/cold_test.cc
@@ -28,9 +28,9 @@
     dispatcher.SetMembersConfirmed(absl::InfiniteFuture());
     Advance(absl::Seconds(5));
   }
-  void AddCold(const std::string& id, const std::string& service, Duration left) {
+  void AddCold(const std::string& id, const std::string& service, Duration time_left) {
     catalog::Backend cold = MakeBackend(id, service);
-    cold.cold_until = now + left;
+    cold.cold_until = now + time_left;
     cold.cold_requests_per_second = 4.2;
     AddBackend(cold);
   }
@@ -114,23 +114,23 @@
 
 BOOST_AUTO_TEST_CASE(back_ends_of_an_evacuated_zone_get_no_requests) {
   AddBackends("cards", {"c-1", "c-2"});
-  catalog::Backend left = MakeBackend("c-1", "cards");
-  left.evacuated = true;
-  AddBackend(left);
+  catalog::Backend backend = MakeBackend("c-1", "cards");
+  backend.evacuated = true;
+  AddBackend(backend);
   for (int i = 0; i < 20; ++i) {
     BOOST_TEST(StartAndSend("/cards/1").backend == "c-2");
   }
-  left.evacuated = false;
-  AddBackend(left);
+  backend.evacuated = false;
+  AddBackend(backend);
   BOOST_TEST(CountSends("/cards/1", "c-1", 50) > 0);
 }
 
 BOOST_AUTO_TEST_CASE(owner_in_an_evacuated_zone_serves_its_keys_for_a_limited_time) {
   AddBackends("scripts", {"s-1"});
   Own("s-1");
-  catalog::Backend left = MakeBackend("s-1", "scripts");
-  left.evacuated = true;
-  AddBackend(left);
+  catalog::Backend backend = MakeBackend("s-1", "scripts");
+  backend.evacuated = true;
+  AddBackend(backend);
   Advance(Settings().evacuation_serving - absl::Milliseconds(1));
   StartAndSend("/scripts/1", absl::Seconds(2), 77);
   Advance(absl::Milliseconds(1));
@@ -144,18 +144,18 @@
   Sent(first);
   Refuse(first);
   BOOST_TEST(HasNoDecisions());
-  catalog::Backend left = MakeBackend("b-1", "books");
-  left.evacuated = true;
-  AddBackend(left);
+  catalog::Backend backend = MakeBackend("b-1", "books");
+  backend.evacuated = true;
+  AddBackend(backend);
   Advance(absl::Seconds(1));
   BOOST_TEST(Only<AnswerDecision>().status == 503);
 }
 
 // A node that starts during an evacuation does not know how long the evacuation has lasted.
 BOOST_AUTO_TEST_CASE(back_end_first_seen_in_an_evacuated_zone_gets_no_requests) {
-  catalog::Backend left = MakeBackend("s-1", "scripts");
-  left.evacuated = true;
-  AddBackend(left);
+  catalog::Backend backend = MakeBackend("s-1", "scripts");
+  backend.evacuated = true;
+  AddBackend(backend);
   Own("s-1");
   Start("/scripts/1", absl::Seconds(2), 77);
   BOOST_TEST(All<SendDecision>().empty());
--- a/tests/unit/forwarding/suspension_test.cc
+++ b/tests/unit/forwarding/suspension_test.cc
@@ -7,19 +7,19 @@
 namespace ladderstream::forwarding {
 namespace {
 
-constexpr Duration kAsleep = absl::Seconds(5);
+constexpr Duration kSuspendedTime = absl::Seconds(5);
 
-struct SleepingNode : DispatcherHarness {
-  void Sleep() { now += kAsleep; }
+struct SuspendedNode : DispatcherHarness {
+  void Suspend() { now += kSuspendedTime; }
 };
 
-BOOST_FIXTURE_TEST_SUITE(suspension, SleepingNode)
+BOOST_FIXTURE_TEST_SUITE(suspension, SuspendedNode)
 
 BOOST_AUTO_TEST_CASE(a_map_is_not_used_beyond_its_confirmation) {
   AddBackends("scripts", {"owner"});
   Own("owner");
   dispatcher.SetMapConfirmed(now + absl::Seconds(2));
-  Sleep();
+  Suspend();
   Start("/scripts/x", absl::Seconds(2), 7);
   BOOST_TEST((Only<AnswerDecision>().code == ResultCode::kNoOwner));
 }
@@ -28,7 +28,7 @@
   AddBackends("scripts", {"owner"});
   Own("owner");
   Drain("owner");
-  Sleep();
+  Suspend();
   Start("/scripts/x", absl::Seconds(2), 7);
   BOOST_TEST(All<SendDecision>().empty());
 }
@@ -38,7 +38,7 @@
   Own("owner", {{0, ownership::kLastKey}});
   Start("/scripts/x", absl::Seconds(1), 7);
   BOOST_TEST(HasNoDecisions());
-  Sleep();
+  Suspend();
   // The move of its keys completed meanwhile, and the new map arrives before any timer fires.
   Own("owner");
   BOOST_TEST(Only<AnswerDecision>().status != 200);
@@ -48,7 +48,7 @@
   AddBackends("cards", {"a", "b"});
   const SendDecision send = StartAndSend("/cards/x", absl::Seconds(1));
   Sent(send);
-  Sleep();
+  Suspend();
   Fail(send, AttemptFailure::kLost);
   BOOST_TEST(All<SendDecision>().empty());
 }
@@ -58,7 +58,7 @@
   Own("owner");
   const SendDecision send = StartAndSend("/scripts/x", absl::Seconds(20), 7);
   Drain("owner");
-  Sleep();
+  Suspend();
   BOOST_TEST(!dispatcher.MaySend(send.attempt, now));
 }
 
@@ -72,7 +72,7 @@
   answer.backoff = absl::Seconds(3);
   dispatcher.OnAttemptAnswer(send.attempt, answer, now);
   dispatcher.TakeDecisions();
-  Sleep();
+  Suspend();
   BOOST_TEST(StartAndSend("/scripts/x", absl::Seconds(2), 8).backend == "owner");
 }
 
