--- a/src/core/forwarding/service_table.cc
+++ b/src/core/forwarding/service_table.cc
@@ -23,8 +23,8 @@
 /// An outage of the store lets nearly all registrations expire together; a release or a scale-in
 /// removes a few at a time.
 constexpr double kMassExpiryShare = 1.0 / 3;
-/// Upper bound on a requested back-off, so that a wrong value (for example milliseconds
-/// sent as seconds) does not disable the back end for good.
+/// Upper bound on a requested back-off, so that a wrong value (for example milliseconds sent as
+/// seconds) does not disable the back end for good.
 constexpr Duration kMaxBackoff = absl::Hours(1);
 /// Minimum interval between reports of the admission level of a service.
 constexpr Duration kLevelReportInterval = absl::Seconds(1);
--- a/tests/unit/forwarding/ill_back_end_test.cc
+++ b/tests/unit/forwarding/ill_back_end_test.cc
@@ -76,8 +76,9 @@
   BOOST_TEST(ReplayAll(FewNodes(FaultKind::kErrors)).failed < 100);
 }
 
-// If a success erased all earlier failures: 196, 241 and 223. The minimum for a node that learns
-// only from its own requests is one failure per node and faulty back end, 110.
+// If a success erased all earlier failures, there would be 196, 241 and 223 failures. The minimum
+// for a node that learns only from its own requests is one failure per node and faulty back end,
+// 110.
 BOOST_AUTO_TEST_CASE(many_nodes_avoid_back_ends_that_fail_half_of_their_requests) {
   BOOST_TEST(ReplayAll(ManyNodes(FaultKind::kSheds)).sent_again < 160);
   BOOST_TEST(ReplayAll(ManyNodes(FaultKind::kResets)).sent_again < 160);
--- a/tests/unit/forwarding/owner_limit_test.cc
+++ b/tests/unit/forwarding/owner_limit_test.cc
@@ -1,4 +1,5 @@
-// Tests the limit that a node sets itself at an overloaded owner of keys that reports no load.
+// Tests the limit that a node puts on its own concurrent requests at an overloaded owner of keys
+// that reports no load.
 #include "core/admission/owner_limit.h"
 
 #include <boost/test/unit_test.hpp>
