--- a/src/core/ownership/coordinator.cc
+++ b/src/core/ownership/coordinator.cc
@@ -269,7 +269,7 @@
 }
 
 Time Coordinator::Impl::HolderWake(Time now) const {
-  Time wake = std::min(chain_.NextGiveUp(), orders_.NextTimeout());
+  Time wake = std::min(chain_.NextTimeout(), orders_.NextTimeout());
   if (!chain_.InFlight()) {
     const bool at_once = !chain_.attempts().empty() || HasReadyChanges(now);
     const Time due =
--- a/src/core/ownership/coordinator_lease.cc
+++ b/src/core/ownership/coordinator_lease.cc
@@ -33,7 +33,7 @@
 
 Time Coordinator::Impl::StandbyWake() const {
   if (challenging_) {
-    return chain_.InFlight() ? chain_.NextGiveUp() : write_not_before_;
+    return chain_.InFlight() ? chain_.NextTimeout() : write_not_before_;
   }
   if (read_call_) {
     return read_sent_ + settings_.store_timeout;
@@ -148,7 +148,7 @@
 }
 
 void Coordinator::Impl::WriteStep(Time now) {
-  if (chain_.GiveUp(now) > 0) {
+  if (chain_.MarkTimedOut(now) > 0) {
     OnWriteFailed(absl::StrCat("no answer from the store within ",
                                absl::FormatDuration(settings_.store_timeout)),
                   now);
--- a/src/core/ownership/lease_chain.cc
+++ b/src/core/ownership/lease_chain.cc
@@ -77,7 +77,7 @@
       outcome.kind = ChainOutcome::Kind::kNotApplied;
       return outcome;
     case store::StoreStatus::kUnknown:
-      found->given_up = true;
+      found->timed_out = true;
       return outcome;
   }
   return outcome;
@@ -156,11 +156,11 @@
   return outcome;
 }
 
-size_t LeaseChain::GiveUp(Time now) {
+size_t LeaseChain::MarkTimedOut(Time now) {
   size_t count = 0;
   for (LeaseAttempt& attempt : attempts_) {
-    if (!attempt.given_up && now - attempt.sent >= settings_.store_timeout) {
-      attempt.given_up = true;
+    if (!attempt.timed_out && now - attempt.sent >= settings_.store_timeout) {
+      attempt.timed_out = true;
       ++count;
     }
   }
@@ -174,7 +174,7 @@
 
 bool LeaseChain::InFlight() const {
   return std::any_of(attempts_.begin(), attempts_.end(),
-                     [](const LeaseAttempt& attempt) { return !attempt.given_up; });
+                     [](const LeaseAttempt& attempt) { return !attempt.timed_out; });
 }
 
 bool LeaseChain::Commits(const std::string& service, Fence fence) const {
@@ -188,10 +188,10 @@
   return false;
 }
 
-Time LeaseChain::NextGiveUp() const {
+Time LeaseChain::NextTimeout() const {
   Time next = absl::InfiniteFuture();
   for (const LeaseAttempt& attempt : attempts_) {
-    if (!attempt.given_up) {
+    if (!attempt.timed_out) {
       next = std::min(next, attempt.sent + settings_.store_timeout);
     }
   }
--- a/src/core/ownership/lease_chain.h
+++ b/src/core/ownership/lease_chain.h
@@ -34,7 +34,7 @@
   uint64_t epoch = 0;
   Time sent;
   /// No answer arrived before the time-out. The transaction may still be applied.
-  bool given_up = false;
+  bool timed_out = false;
   std::vector<OwnershipChange> changes;
   /// The service rows that the transaction writes, by key.
   std::map<std::string, std::string> rows;
@@ -80,7 +80,7 @@
   /// Handles the store's reply to an attempt and returns the outcome.
   ChainOutcome OnReply(CallId call, const store::StoreReply& reply);
   /// Marks the attempts that timed out and returns their number.
-  size_t GiveUp(Time now);
+  size_t MarkTimedOut(Time now);
   /// Drops all attempts and the confirmed write, as the holder steps down.
   void Forfeit();
 
@@ -90,7 +90,7 @@
   /// Returns whether an open attempt commits this change.
   bool Commits(const std::string& service, Fence fence) const;
   /// Returns when the oldest attempt in flight times out; InfiniteFuture without one.
-  Time NextGiveUp() const;
+  Time NextTimeout() const;
   /// Returns the send time of the newest confirmed write; InfinitePast without one.
   Time confirmed_sent() const { return confirmed_sent_; }
   /// Returns whether the lease is valid at `now`.
--- a/tests/unit/membership/membership_test.cc
+++ b/tests/unit/membership/membership_test.cc
@@ -212,9 +212,9 @@
 }
 
 BOOST_FIXTURE_TEST_CASE(AnotherProcessAtCoordinatorAddressReportsCoordinatorEnded, Follower) {
-  Heartbeat stranger;
-  stranger.sender = 77;
-  Answer(SendReport(kStart), stranger, kStart);
+  Heartbeat other;
+  other.sender = 77;
+  Answer(SendReport(kStart), other, kStart);
   BOOST_TEST(Take<CoordinatorEndedAction>().front().incarnation == 2);
 }
 
--- a/tests/unit/ownership/lease_test.cc
+++ b/tests/unit/ownership/lease_test.cc
@@ -120,7 +120,7 @@
   chain.Restart(0, {});
   const store::Transaction first = chain.Begin(1, 1, {}, {{"s", {0, 1}, "a", 5}}, kStart);
   store.Apply(first);
-  chain.GiveUp(kStart + absl::Seconds(1));
+  chain.MarkTimedOut(kStart + absl::Seconds(1));
   const store::Transaction second = chain.Begin(2, 1, {}, {}, kStart + absl::Seconds(1));
   const ChainOutcome outcome = chain.OnReply(2, store.Apply(second));
   BOOST_TEST((outcome.kind == ChainOutcome::Kind::kApplied));
@@ -133,7 +133,7 @@
   LeaseChain chain({}, kSelf);
   chain.Restart(0, {});
   const store::Transaction late = chain.Begin(1, 1, {}, {}, kStart);
-  chain.GiveUp(kStart + absl::Seconds(1));
+  chain.MarkTimedOut(kStart + absl::Seconds(1));
   chain.OnReply(2, store.Apply(chain.Begin(2, 1, {}, {}, kStart + absl::Seconds(1))));
   BOOST_TEST((store.Apply(late).status == store::StoreStatus::kConflict));
 }
--- a/tests/unit/ownership/model_nodes.cc
+++ b/tests/unit/ownership/model_nodes.cc
@@ -159,65 +159,64 @@
 }
 
 void ModelWorld::Perform(ModelNode& node, const Action& action, Time decided) {
-  std::visit(Overloaded{[&](const CommitAction& commit) {
-                          ++counts_.commits;
-                          SendToStore(node, commit.call, [this, transaction = commit.transaction] {
-                            store::StoreReply reply = store_.Apply(transaction);
-                            if (reply.status == store::StoreStatus::kDone) {
-                              CheckCommits(transaction);
-                            }
-                            return reply;
-                          });
-                        },
-                        [&](const ReadAction& read) {
-                          SendToStore(node, read.call,
-                                      [this, query = read.query] { return store_.Read(query); });
-                        },
-                        [&](const GrantAction& grant) {
-                          ++counts_.grants;
-                          CheckGrant(node, grant, decided);
-                          SendOrder(node, grant.call, grant.address, grant.backend, grant.hold,
-                                    decided, [this, grant](ModelBackend& backend, bool late) {
-                                      OrderReply reply;
-                                      reply.status = backend.Grant(grant.range, grant.fence,
-                                                                   grant.hold, late, now_);
-                                      if (reply.status == OrderStatus::kDone && late) {
-                                        CountLateOverlap(backend, grant.range);
-                                      } else if (reply.status == OrderStatus::kDone) {
-                                        CheckFences(backend, grant.range, grant.fence);
-                                        CheckHolds(backend, grant.range);
-                                      }
-                                      return reply;
-                                    });
-                        },
-                        [&](const ReleaseAction& release) {
-                          SendOrder(node, release.call, release.address, release.backend,
-                                    absl::ZeroDuration(), decided,
-                                    [this, release](ModelBackend& backend, bool /*late*/) {
-                                      backend.Release(release.range, release.fence, now_);
-                                      return OrderReply{OrderStatus::kDone, "handover"};
-                                    });
-                        },
-                        [&](const PublishAction& publish) {
-                          node.map = std::make_shared<OwnershipMap>(publish.map);
-                          Broadcast(node);
-                        },
-                        [&](const StateChangeAction& state_change) {
-                          counts_.takeovers += state_change.event == "lease_acquired" ? 1 : 0;
-                          Trace(absl::StrCat("node ", node.index, " ", state_change.event, " ",
-                                             state_change.detail));
-                          if (state_change.event == "resigned") {
-                            for (size_t i = 0; i < nodes_.size(); ++i) {
-                              const uint64_t resigned = node.incarnation;
-                              After(DrawMs(1, 20), [this, i, to = nodes_[i].incarnation, resigned] {
-                                ToNode(i, to, [this, i, resigned] {
-                                  nodes_[i].coordinator->OnCoordinatorEnded(resigned, now_);
-                                });
-                              });
-                            }
-                          }
-                        }},
-             action);
+  std::visit(
+      Overloaded{
+          [&](const CommitAction& commit) {
+            ++counts_.commits;
+            SendToStore(node, commit.call, [this, transaction = commit.transaction] {
+              store::StoreReply reply = store_.Apply(transaction);
+              if (reply.status == store::StoreStatus::kDone) {
+                CheckCommits(transaction);
+              }
+              return reply;
+            });
+          },
+          [&](const ReadAction& read) {
+            SendToStore(node, read.call, [this, query = read.query] { return store_.Read(query); });
+          },
+          [&](const GrantAction& grant) {
+            ++counts_.grants;
+            CheckGrant(node, grant, decided);
+            SendOrder(node, grant.call, grant.address, grant.backend, grant.hold, decided,
+                      [this, grant](ModelBackend& backend, bool late) {
+                        OrderReply reply;
+                        reply.status =
+                            backend.Grant(grant.range, grant.fence, grant.hold, late, now_);
+                        if (reply.status == OrderStatus::kDone && late) {
+                          CountLateOverlap(backend, grant.range);
+                        } else if (reply.status == OrderStatus::kDone) {
+                          CheckFences(backend, grant.range, grant.fence);
+                          CheckHolds(backend, grant.range);
+                        }
+                        return reply;
+                      });
+          },
+          [&](const ReleaseAction& release) {
+            SendOrder(node, release.call, release.address, release.backend, absl::ZeroDuration(),
+                      decided, [this, release](ModelBackend& backend, bool /*late*/) {
+                        backend.Release(release.range, release.fence, now_);
+                        return OrderReply{OrderStatus::kDone, "handover"};
+                      });
+          },
+          [&](const PublishAction& publish) {
+            node.map = std::make_shared<OwnershipMap>(publish.map);
+            Broadcast(node);
+          },
+          [&](const StateChangeAction& change) {
+            counts_.takeovers += change.event == "lease_acquired" ? 1 : 0;
+            Trace(absl::StrCat("node ", node.index, " ", change.event, " ", change.detail));
+            if (change.event == "resigned") {
+              for (size_t i = 0; i < nodes_.size(); ++i) {
+                const uint64_t resigned = node.incarnation;
+                After(DrawMs(1, 20), [this, i, to = nodes_[i].incarnation, resigned] {
+                  ToNode(i, to, [this, i, resigned] {
+                    nodes_[i].coordinator->OnCoordinatorEnded(resigned, now_);
+                  });
+                });
+              }
+            }
+          }},
+      action);
 }
 
 void ModelWorld::SendToStore(ModelNode& node, CallId call,
--- a/tests/unit/ownership/ownership_test.cc
+++ b/tests/unit/ownership/ownership_test.cc
@@ -79,9 +79,9 @@
   node.Register({"a", "b"});
   node.Register({"a", "b", "c"});
   node.Register({"a", "b", "c"}, {{"other", {"c", 1}}});
-  for (const At<StateChangeAction>& state_change : node.state_changes) {
-    const bool of_c = state_change.sent.detail.starts_with("c ");
-    BOOST_TEST(!(state_change.sent.event == state_change::kBackendEnded && of_c));
+  for (const At<StateChangeAction>& change : node.state_changes) {
+    const bool of_c = change.sent.detail.starts_with("c ");
+    BOOST_TEST(!(change.sent.event == state_change::kBackendEnded && of_c));
   }
 }
 
