--- a/src/core/ownership/holder_watch.cc
+++ b/src/core/ownership/holder_watch.cc
@@ -29,7 +29,7 @@
 
 constexpr uint64_t kJitterSteps = 1024;
 
-/// Hashes nearby numbers to distant ones (the finalizer of splitmix64).
+/// Hashes nearby numbers to distant ones (the finalizer of SplitMix64).
 uint64_t Mix(uint64_t value) {
   value = (value ^ (value >> 30U)) * 0xbf58476d1ce4e5b9U;
   value = (value ^ (value >> 27U)) * 0x94d049bb133111ebU;
--- a/src/core/ownership/holder_watch.h
+++ b/src/core/ownership/holder_watch.h
@@ -36,8 +36,8 @@
   void OnSuperseded(const std::optional<LeaseRow>& row, store::RowVersion version, Time now);
   /// Schedules the first read of the rows.
   void Begin(Time now);
-  /// Schedules a retry with exponential backoff after the rows could not be read or a challenge was
-  /// refused.
+  /// Schedules a retry with exponential back-off after the rows could not be read or a challenge
+  /// was refused.
   void OnFailure(Time now);
 
   /// Returns the time at which this node first saw this version of the lease row; `now` for a
--- a/src/core/ownership/lease_chain.h
+++ b/src/core/ownership/lease_chain.h
@@ -33,7 +33,8 @@
   uint64_t nonce = 0;
   uint64_t epoch = 0;
   Time sent;
-  /// No answer arrived before the time-out. The transaction may still be applied.
+  /// No answer arrived before the time-out, or the store call failed with an unknown outcome. The
+  /// transaction may still be applied.
   bool timed_out = false;
   std::vector<OwnershipChange> changes;
   /// The service rows that the transaction writes, by key.
--- a/src/core/ownership/order_book.h
+++ b/src/core/ownership/order_book.h
@@ -25,7 +25,7 @@
   KeyRange range;
   Fence fence = 0;
   Time sent;
-  /// No answer arrived within the order timeout. A late answer is still accepted.
+  /// No answer arrived within the order time-out. A late answer is still accepted.
   bool timed_out = false;
 };
 
@@ -37,7 +37,7 @@
   void Add(Order order);
   /// Removes and returns the order; nullopt if it is unknown or no longer kept.
   std::optional<Order> Take(CallId call);
-  /// Marks the orders that exceeded the order timeout as timed out and returns them.
+  /// Marks the orders that exceeded the order time-out as timed out and returns them.
   std::vector<Order> TakeTimedOut(Time now);
   void Clear();
 
--- a/tests/unit/membership/table_relay_test.cc
+++ b/tests/unit/membership/table_relay_test.cc
@@ -72,10 +72,10 @@
   }
 }
 
-// Guards against a new coordinator that relies on a dead watch. During a store outage of 3.7 s all
+// Guards against a new coordinator that relies on a lost watch. During a store outage of 3.7 s all
 // nodes sent their own watches, which the store neither answered nor closed; a watch waits for 20
 // s. A node that acquired the lease 0.04 s after the outage confirmed its copy from then on,
-// although its watch was dead: a configuration change 4 s later reached all 87 nodes only when that
+// although its watch was lost: a configuration change 4 s later reached all 87 nodes only when that
 // watch timed out, at an age of 22.8 s.
 BOOST_AUTO_TEST_CASE(NewLeaseHolderRestartsItsWatches) {
   WatchingRelay node;
@@ -360,7 +360,7 @@
   BOOST_TEST(pair.node.backends.rows().at("i-2").value == "draining");
 }
 
-/// Changes cannot be computed from a version inside the gap; a node that tried to terminated.
+/// Guards against computing changes from a version inside the gap, which terminated the node.
 BOOST_AUTO_TEST_CASE(ChangesAfterRereadAreSentFromItsEnd) {
   Pair pair;
   pair.Reread({{"i-1", "ready", 50}, {"i-2", "ready", 85}}, 90);
--- a/tests/unit/ownership/service_rows_test.cc
+++ b/tests/unit/ownership/service_rows_test.cc
@@ -1,8 +1,8 @@
 // Guards against service rows that exceed the store's row size. A service's full assignment was
 // once a single row, of which the store accepts up to 64 KB. With 295 nodes and 3,000 back ends,
-// 1,281 of them owners, the store refused the transaction (status 400) and the coordinator repeated
-// it without end: no grant was sent, no request for a key was served, and it went through six
-// epochs in 27 s.
+// 1,281 of them owners, the store refused the transaction (status 400, "a table, key, version or
+// value is missing or too long") and the coordinator repeated it without end: no grant was sent, no
+// request for a key was served, and it went through six epochs in 27 s.
 #include "core/ownership/service_rows.h"
 
 #include <absl/strings/str_cat.h>
