--- a/src/core/membership/map_exchange.cc
+++ b/src/core/membership/map_exchange.cc
@@ -8,11 +8,11 @@
 namespace {
 
 /// Number of newest maps kept; a node that holds one of them is sent changes only.
-constexpr size_t kMapsRemembered = 32;
+constexpr size_t kMaxKeptMaps = 32;
 
 }  // namespace
 
-MapExchange::MapExchange() : history_(kMapsRemembered) {}
+MapExchange::MapExchange() : history_(kMaxKeptMaps) {}
 
 ownership::MapVersion MapExchange::version() const {
   return map_ == nullptr ? ownership::MapVersion{} : map_->version;
--- a/src/core/membership/member_table.cc
+++ b/src/core/membership/member_table.cc
@@ -13,7 +13,7 @@
 constexpr double kReportsPerLifetime = 3.5;
 
 /// Number of newest changes kept; a node whose list they reach back to is sent changes only.
-constexpr size_t kChangesRemembered = 64;
+constexpr size_t kMaxKeptChanges = 64;
 
 }  // namespace
 
@@ -200,7 +200,7 @@
   }
   version_ = version;
   history_.push_back({version, std::move(changes)});
-  if (history_.size() > kChangesRemembered) {
+  if (history_.size() > kMaxKeptChanges) {
     history_.pop_front();
   }
 }
--- a/src/core/ownership/backend_directory.cc
+++ b/src/core/ownership/backend_directory.cc
@@ -26,7 +26,7 @@
 /// cost. The last avoidance is disregarded one minute after it ended.
 constexpr Duration kMinAvoidance = absl::Seconds(5);
 constexpr Duration kMaxAvoidance = absl::Minutes(1);
-constexpr Duration kAvoidanceMemory = absl::Minutes(1);
+constexpr Duration kRepeatedAvoidanceWindow = absl::Minutes(1);
 /// If more of a service's back ends decline, or all are overloaded, moving keys only moves the
 /// overload. Deployments are sized for the loss of one of three zones.
 constexpr double kMaxAvoidedShare = 1.0 / 3;
@@ -236,7 +236,7 @@
       known.declined < kMinDeclinedShare * known.served) {
     return false;
   }
-  const bool again = now - known.avoided_until < kAvoidanceMemory;
+  const bool again = now - known.avoided_until < kRepeatedAvoidanceWindow;
   known.avoidance = std::clamp(again ? std::max(backoff, 2 * known.avoidance) : backoff,
                                kMinAvoidance, kMaxAvoidance);
   known.avoided_until = now + known.avoidance;
--- a/src/core/ownership/coordinator.cc
+++ b/src/core/ownership/coordinator.cc
@@ -139,10 +139,10 @@
     return;
   }
   RangeState& state = found->table.At(key);
-  if (state.phase != RangePhase::kOwned || now - state.denied_at < settings_.order_timeout) {
+  if (state.phase != RangePhase::kOwned || now - state.not_owner_at < settings_.order_timeout) {
     return;
   }
-  state.denied_at = now;
+  state.not_owner_at = now;
   state.order_due = now;
   ReportStateChange(state_change::kOwnerDenied, absl::StrCat(service, " key ", key, " owner ",
                                                              state.owner, " fence ", state.fence));
@@ -211,7 +211,7 @@
 void Coordinator::Impl::HolderStep(Time now) {
   ReportLeaseValidity(now);
   RenewIfStoreDegraded(now);
-  GiveUpOrders(now);
+  HandleTimedOutOrders(now);
   if (ResignIfDone(now)) {
     return;
   }
--- a/src/core/ownership/coordinator_impl.h
+++ b/src/core/ownership/coordinator_impl.h
@@ -227,7 +227,7 @@
   /// its first grants.
   bool AwaitsFirstRenewals(const ServiceState& service, Time now) const;
   bool StoreDegraded(Time now) const;
-  void GiveUpOrders(Time now);
+  void HandleTimedOutOrders(Time now);
   void OnGrantReply(const Order& order, const OrderReply& reply, Time now);
   void OnGrantDone(ServiceState& service, const Order& order, Time now);
   void OnGrantFenced(ServiceState& service, const Order& order, Time now);
--- a/src/core/ownership/coordinator_lease.cc
+++ b/src/core/ownership/coordinator_lease.cc
@@ -335,11 +335,11 @@
   if (!resign_by_) {
     return false;
   }
-  bool half_done = !chain_.attempts().empty() || HasReadyChanges(now);
+  bool unfinished = !chain_.attempts().empty() || HasReadyChanges(now);
   for (const auto& [name, service] : services_) {
-    half_done = half_done || (IsListed(name) && CountMoves(service) > 0);
+    unfinished = unfinished || (IsListed(name) && CountMoves(service) > 0);
   }
-  if (half_done && now < *resign_by_) {
+  if (unfinished && now < *resign_by_) {
     return false;
   }
   StepDown(state_change::kResigned, absl::StrCat("epoch ", epoch_), now);
--- a/src/core/ownership/coordinator_moves.cc
+++ b/src/core/ownership/coordinator_moves.cc
@@ -25,7 +25,7 @@
 
 /// Optional moves are deferred while a store write has been unanswered for this share of its
 /// time-out. A healthy store answers within a few hundredths of it.
-constexpr double kDoubtfulShare = 0.25;
+constexpr double kMaxUnansweredShare = 0.25;
 
 /// How long after an owner was waited out a grant sent to it may still arrive.
 constexpr Duration kRepeatReleaseFor = absl::Seconds(15);
@@ -275,7 +275,7 @@
   const std::vector<LeaseAttempt>& attempts = chain_.attempts();
   return StoreDegraded(now) ||
          std::any_of(attempts.begin(), attempts.end(), [&](const LeaseAttempt& attempt) {
-           return now - attempt.sent >= settings_.store_timeout * kDoubtfulShare;
+           return now - attempt.sent >= settings_.store_timeout * kMaxUnansweredShare;
          });
 }
 
--- a/src/core/ownership/coordinator_orders.cc
+++ b/src/core/ownership/coordinator_orders.cc
@@ -210,7 +210,7 @@
   actions_.emplace_back(ReleaseAction{call, backend, address, range, fence});
 }
 
-void Coordinator::Impl::GiveUpOrders(Time now) {
+void Coordinator::Impl::HandleTimedOutOrders(Time now) {
   for (const Order& order : orders_.TakeTimedOut(now)) {
     OrderReply none;
     none.status = OrderStatus::kNoAnswer;
--- a/src/core/ownership/range_table.h
+++ b/src/core/ownership/range_table.h
@@ -53,7 +53,7 @@
   /// When a rejected fence is replaced.
   Time refence_due = absl::InfinitePast();
   /// When a node last reported that the owner rejected a request as not the owner.
-  Time denied_at = absl::InfinitePast();
+  Time not_owner_at = absl::InfinitePast();
   /// Earliest time of the next commit attempt, set after the store rejected one.
   Time commit_not_before = absl::InfinitePast();
   /// In the other phases: the next owner, committed under next_fence; empty while not chosen.
--- a/tests/unit/ownership/ownership_test.cc
+++ b/tests/unit/ownership/ownership_test.cc
@@ -301,19 +301,19 @@
   BOOST_TEST(!node.IsMoving(0));
 }
 
-BOOST_AUTO_TEST_CASE(AnOwnerDenialRenewsAtOnceButRepeatedOnesDoNot) {
+BOOST_AUTO_TEST_CASE(ANotOwnerReportRenewsAtOnceButRepeatedOnesDoNot) {
   Holding holding({"a"});
   Harness& node = holding.node;
   node.Run(absl::Milliseconds(100));
-  const Time denied = node.now;
+  const Time reported_at = node.now;
   for (int i = 0; i < 10; ++i) {
     node.coordinator.OnNotOwner(Harness::kService, 5, node.now);
     node.Drain();
     node.Run(absl::Milliseconds(1));
   }
-  const auto granted = node.GrantsSince(denied);
+  const auto granted = node.GrantsSince(reported_at);
   BOOST_REQUIRE_EQUAL(granted.size(), 1U);
-  BOOST_TEST((granted.front().at == denied));
+  BOOST_TEST((granted.front().at == reported_at));
 }
 
 BOOST_AUTO_TEST_CASE(ACommitWithALostAnswerIsFoundApplied) {
