--- a/src/core/ownership/coordinator_lease.cc
+++ b/src/core/ownership/coordinator_lease.cc
@@ -33,7 +33,7 @@
 
 Time Coordinator::Impl::StandbyWake() const {
   if (challenging_) {
-    return chain_.InFlight() ? chain_.NextGiveUp() : write_not_before_;
+    return chain_.InFlight() ? chain_.NextTimeout() : write_not_before_;
   }
   if (read_call_) {
     return read_sent_ + settings_.store_timeout;
@@ -148,7 +148,7 @@
 }
 
 void Coordinator::Impl::WriteStep(Time now) {
-  if (chain_.GiveUp(now) > 0) {
+  if (chain_.MarkTimedOut(now) > 0) {
     OnWriteFailed(absl::StrCat("no answer from the store within ",
                                absl::FormatDuration(settings_.store_timeout)),
                   now);
@@ -335,11 +335,11 @@
   if (!resign_by_) {
     return false;
   }
-  bool half_done = !chain_.attempts().empty() || HasReadyChanges(now);
+  bool unfinished = !chain_.attempts().empty() || HasReadyChanges(now);
   for (const auto& [name, service] : services_) {
-    half_done = half_done || (IsListed(name) && CountMoves(service) > 0);
+    unfinished = unfinished || (IsListed(name) && CountMoves(service) > 0);
   }
-  if (half_done && now < *resign_by_) {
+  if (unfinished && now < *resign_by_) {
     return false;
   }
   StepDown(state_change::kResigned, absl::StrCat("epoch ", epoch_), now);
--- a/tests/unit/ownership/ownership_test.cc
+++ b/tests/unit/ownership/ownership_test.cc
@@ -79,9 +79,9 @@
   node.Register({"a", "b"});
   node.Register({"a", "b", "c"});
   node.Register({"a", "b", "c"}, {{"other", {"c", 1}}});
-  for (const At<StateChangeAction>& state_change : node.state_changes) {
-    const bool of_c = state_change.sent.detail.starts_with("c ");
-    BOOST_TEST(!(state_change.sent.event == state_change::kBackendEnded && of_c));
+  for (const At<StateChangeAction>& change : node.state_changes) {
+    const bool of_c = change.sent.detail.starts_with("c ");
+    BOOST_TEST(!(change.sent.event == state_change::kBackendEnded && of_c));
   }
 }
 
@@ -301,19 +301,19 @@
   BOOST_TEST(!node.IsMoving(0));
 }
 
-BOOST_AUTO_TEST_CASE(AnOwnerDenialRenewsAtOnceButRepeatedOnesDoNot) {
+BOOST_AUTO_TEST_CASE(ANotOwnerReportRenewsAtOnceButRepeatedOnesDoNot) {
   Holding holding({"a"});
   Harness& node = holding.node;
   node.Run(absl::Milliseconds(100));
-  const Time denied = node.now;
+  const Time reported_at = node.now;
   for (int i = 0; i < 10; ++i) {
     node.coordinator.OnNotOwner(Harness::kService, 5, node.now);
     node.Drain();
     node.Run(absl::Milliseconds(1));
   }
-  const auto granted = node.GrantsSince(denied);
+  const auto granted = node.GrantsSince(reported_at);
   BOOST_REQUIRE_EQUAL(granted.size(), 1U);
-  BOOST_TEST((granted.front().at == denied));
+  BOOST_TEST((granted.front().at == reported_at));
 }
 
 BOOST_AUTO_TEST_CASE(ACommitWithALostAnswerIsFoundApplied) {
