--- a/src/core/admission/owner_limit.cc
+++ b/src/core/admission/owner_limit.cc
@@ -8,24 +8,24 @@
 // For a node that sees some ten answers a second of such an owner (docs/design/018).
 
 /// Added to the limit by each answer in time.
-constexpr double kGrowth = 0.1;
+constexpr double kIncrease = 0.1;
 /// What a late answer, and one turned away, leave of the limit.
-constexpr double kLateCut = 0.85;
-constexpr double kTurnedAwayCut = 0.6;
+constexpr double kLateFactor = 0.85;
+constexpr double kRejectedFactor = 0.6;
 /// A first cut starts from this: with many nodes, each has few requests at an owner.
-constexpr double kFirstLimit = 2;
+constexpr double kMaxLimitAfterCut = 2;
 /// One request in this many times its own duration keeps an owner under observation.
-constexpr double kLeastLimit = 1.0 / 16;
+constexpr double kMinLimit = 1.0 / 16;
 /// An owner that nothing showed to be overloaded for so long is not limited.
-constexpr Duration kMemory = absl::Seconds(2);
+constexpr Duration kLimitExpiry = absl::Seconds(2);
 
 }  // namespace
 
-void OwnerLimit::Cut(double share, Time started, Time now) {
+void OwnerLimit::Cut(double factor, Time started, Time now) {
   if (started < cut_at_) {
     return;
   }
-  limit_ = std::max(std::min(limit_, kFirstLimit / share) * share, kLeastLimit);
+  limit_ = std::max(std::min(limit_, kMaxLimitAfterCut / factor) * factor, kMinLimit);
   cut_at_ = now;
 }
 
@@ -37,15 +37,15 @@
 
 void OwnerLimit::OnAnswer(Time started, bool in_time, Time now) {
   if (!in_time) {
-    Cut(kLateCut, started, now);
+    Cut(kLateFactor, started, now);
   } else if (limit_ != kUnlimited) {
-    limit_ = now - cut_at_ > kMemory ? kUnlimited : limit_ + kGrowth;
+    limit_ = now - cut_at_ > kLimitExpiry ? kUnlimited : limit_ + kIncrease;
   }
   SpaceOut(now - started, now);
 }
 
-void OwnerLimit::OnTurnedAway(Time started, Duration service_time, Time now) {
-  Cut(kTurnedAwayCut, started, now);
+void OwnerLimit::OnRejected(Time started, Duration service_time, Time now) {
+  Cut(kRejectedFactor, started, now);
   SpaceOut(std::max(service_time, now - started), now);
 }
 
--- a/src/core/admission/owner_limit.h
+++ b/src/core/admission/owner_limit.h
@@ -21,7 +21,7 @@
   /// An attempt started at `started` was answered, soon enough for its caller or not.
   void OnAnswer(Time started, bool in_time, Time now);
   /// The owner took none of it, or lost it, as full ones do. `service_time`: what it usually takes.
-  void OnTurnedAway(Time started, Duration service_time, Time now);
+  void OnRejected(Time started, Duration service_time, Time now);
 
   /// Whether one more may be sent while `in_flight` are there.
   bool Allows(uint32_t in_flight, Time now) const;
@@ -34,7 +34,7 @@
 
  private:
   /// Cuts the limit, unless the attempt began before the last cut took effect.
-  void Cut(double share, Time started, Time now);
+  void Cut(double factor, Time started, Time now);
   /// Leaves a pause after an attempt that took `elapsed`, so that a share below one is kept.
   void SpaceOut(Duration elapsed, Time now);
 
--- a/src/core/admission/service_admission.h
+++ b/src/core/admission/service_admission.h
@@ -25,14 +25,14 @@
 /// Events a second, the latest ones counting most.
 class RecentRate {
  public:
-  explicit RecentRate(Duration memory) : memory_(memory) {}
+  explicit RecentRate(Duration time_constant) : time_constant_(time_constant) {}
 
   void Add(Time now);
   /// A second.
   double Value(Time now) const;
 
  private:
-  Duration memory_;
+  Duration time_constant_;
   double count_ = 0;
   Time at_ = absl::InfinitePast();
 };
@@ -44,7 +44,7 @@
   explicit ServiceAdmission(double floor);
 
   /// A back end told its load with an answer; `service_time` is what it takes for one request.
-  void OnTold(const catalog::ToldLoad& told, Duration service_time, Time now);
+  void OnReportedLoad(const catalog::ToldLoad& reported, Duration service_time, Time now);
   /// A back end has done with a request: served it, or failed or refused it for another reason than
   /// a lack of room.
   void OnDone(Time now);
@@ -76,7 +76,7 @@
     Time slack_at = absl::InfinitePast();
     double share = 1;
     /// What it was let through less than its share.
-    double owed = 0;
+    double credit = 0;
   };
 
   /// Requests a second of all ranks.
--- a/src/core/forwarding/attempt_events.cc
+++ b/src/core/forwarding/attempt_events.cc
@@ -164,7 +164,7 @@
 void Dispatcher::Impl::UpdateFromAnswer(const Attempt& attempt, const AttemptAnswer& answer,
                                         Time now) {
   BackendState& backend = *attempt.backend;
-  attempt.service->admission.OnTold(answer.load, backend.load.ServiceTime(now), now);
+  attempt.service->admission.OnReportedLoad(answer.load, backend.load.ServiceTime(now), now);
   const Duration elapsed = now - attempt.started;
   if (answer.status == kMisdirected) {
     return;
@@ -217,7 +217,7 @@
     // An owner that rejects with free slots is faulty, and a lower limit would not help: of the
     // requests for keys of an owner that sheds half of them, 0.24 were served with its limit
     // reduced, and 0.82 without (replay of the unit test ill_back_end, 20 seeds).
-    backend.owner_limit.OnTurnedAway(attempt.started, backend.load.ServiceTime(now), now);
+    backend.owner_limit.OnRejected(attempt.started, backend.load.ServiceTime(now), now);
   }
   // A back end that requests a back-off is not faulty, and is used as before afterwards.
   if (has_room && !answer.backoff.has_value()) {
@@ -325,7 +325,7 @@
         backend.load.OnShed({}, now);
       }
       if (MayBeFull(backend.load, now)) {
-        backend.owner_limit.OnTurnedAway(attempt.started, backend.load.ServiceTime(now), now);
+        backend.owner_limit.OnRejected(attempt.started, backend.load.ServiceTime(now), now);
       }
       RecordEjection(backend, "connection lost during a request", backend.outlier.OnFailure(now));
       break;
--- a/tests/unit/admission/service_admission_test.cc
+++ b/tests/unit/admission/service_admission_test.cc
@@ -22,8 +22,8 @@
 constexpr double kFloor = 0.3;
 
 struct Tally {
-  double asked = 0;
-  double let_through = 0;
+  double offered = 0;
+  double admitted = 0;
   double in_time = 0;
 };
 
@@ -44,7 +44,7 @@
 
   const ServiceAdmission& node() const { return nodes_.front(); }
   Time now() const { return now_; }
-  bool tells_load = true;
+  bool reports_load = true;
 
  private:
   struct Job {
@@ -60,11 +60,11 @@
 
   void Arrive(uint32_t rank, double load, Tally& tally) {
     std::poisson_distribution<int> arrivals(load * kCapacity * absl::ToDoubleSeconds(kStep));
-    for (int left = arrivals(random_); left > 0; --left) {
+    for (int remaining = arrivals(random_); remaining > 0; --remaining) {
       const auto node = static_cast<uint32_t>(random_() % kNodes);
-      ++tally.asked;
+      ++tally.offered;
       if (nodes_[node].Admit(rank, kTarget - kWork, now_)) {
-        ++tally.let_through;
+        ++tally.admitted;
         backends_[random_() % kBackends].waiting.push_back({now_, {}, node, &tally});
       }
     }
@@ -86,11 +86,11 @@
   }
 
   void Answer(const Backend& backend, const Job& job) {
-    catalog::ToldLoad told;
-    told.running = static_cast<uint32_t>(backend.running.size());
-    told.waiting = static_cast<uint32_t>(backend.waiting.size());
-    told.slots = tells_load ? kSlots : 0;
-    nodes_[job.node].OnTold(told, kWork, now_);
+    catalog::ToldLoad reported;
+    reported.running = static_cast<uint32_t>(backend.running.size());
+    reported.waiting = static_cast<uint32_t>(backend.waiting.size());
+    reported.slots = reports_load ? kSlots : 0;
+    nodes_[job.node].OnReportedLoad(reported, kWork, now_);
     nodes_[job.node].OnDone(now_);
     job.tally->in_time += now_ - job.arrival <= kTarget ? 1 : 0;
   }
@@ -101,90 +101,89 @@
   std::vector<Backend> backends_;
 };
 
-double Share(double part, double whole) { return whole > 0 ? part / whole : 0; }
+double Share(double part, double total) { return total > 0 ? part / total : 0; }
 
 double ShareOfAll(const std::vector<Tally>& tallies) {
-  return Share(tallies[0].let_through + tallies[1].let_through,
-               tallies[0].asked + tallies[1].asked);
+  return Share(tallies[0].admitted + tallies[1].admitted, tallies[0].offered + tallies[1].offered);
 }
 
 BOOST_AUTO_TEST_SUITE(service_admission)
 
-BOOST_AUTO_TEST_CASE(an_overloaded_service_goes_on_serving_in_time) {
+BOOST_AUTO_TEST_CASE(overloaded_service_keeps_answering_in_time) {
   Replay replay;
   replay.Play(0.5, 0, absl::Seconds(3));
   const Tally flood = replay.Play(2, 0, absl::Seconds(8))[0];
   // Half of them is all that it bears; taking in all of them, nobody is served in time.
-  BOOST_TEST(Share(flood.in_time, flood.asked) > 0.3);
+  BOOST_TEST(Share(flood.in_time, flood.offered) > 0.3);
   BOOST_TEST(replay.node().share() < 1);
   BOOST_TEST((replay.node().Delay(replay.now()) < kTarget));
 }
 
-BOOST_AUTO_TEST_CASE(a_burst_of_the_less_urgent_costs_the_urgent_next_to_nothing) {
+BOOST_AUTO_TEST_CASE(burst_of_low_rank_hardly_affects_high_rank) {
   Replay replay;
   replay.Play(0.4, 0.2, absl::Seconds(3));
   const std::vector<Tally> burst = replay.Play(0.4, 1.6, absl::Seconds(8));
-  BOOST_TEST(Share(burst[0].let_through, burst[0].asked) > 0.95);
-  BOOST_TEST(Share(burst[1].let_through, burst[1].asked) < 0.6);
-  BOOST_TEST(Share(burst[1].let_through, burst[1].asked) > kFloor * ShareOfAll(burst));
+  BOOST_TEST(Share(burst[0].admitted, burst[0].offered) > 0.95);
+  BOOST_TEST(Share(burst[1].admitted, burst[1].offered) < 0.6);
+  BOOST_TEST(Share(burst[1].admitted, burst[1].offered) > kFloor * ShareOfAll(burst));
 }
 
-BOOST_AUTO_TEST_CASE(a_burst_of_the_urgent_leaves_the_others_their_floor) {
+BOOST_AUTO_TEST_CASE(burst_of_high_rank_leaves_low_rank_its_floor) {
   Replay replay;
   replay.Play(0.4, 0.2, absl::Seconds(3));
   const std::vector<Tally> burst = replay.Play(1.4, 0.2, absl::Seconds(8));
-  BOOST_TEST(Share(burst[1].let_through, burst[1].asked) > 0.9 * kFloor * ShareOfAll(burst));
-  BOOST_TEST(Share(burst[0].let_through, burst[0].asked) >
-             Share(burst[1].let_through, burst[1].asked));
+  BOOST_TEST(Share(burst[1].admitted, burst[1].offered) > 0.9 * kFloor * ShareOfAll(burst));
+  BOOST_TEST(Share(burst[0].admitted, burst[0].offered) >
+             Share(burst[1].admitted, burst[1].offered));
 }
 
-BOOST_AUTO_TEST_CASE(while_there_is_room_nobody_is_turned_away) {
+BOOST_AUTO_TEST_CASE(nothing_is_rejected_below_capacity) {
   Replay replay;
-  const std::vector<Tally> calm = replay.Play(0.4, 0.3, absl::Seconds(10));
-  BOOST_TEST(calm[0].let_through == calm[0].asked);
-  BOOST_TEST(calm[1].let_through == calm[1].asked);
+  const std::vector<Tally> normal_load = replay.Play(0.4, 0.3, absl::Seconds(10));
+  BOOST_TEST(normal_load[0].admitted == normal_load[0].offered);
+  BOOST_TEST(normal_load[1].admitted == normal_load[1].offered);
   BOOST_TEST(replay.node().level() == ServiceAdmission::kNoLevel);
 }
 
-BOOST_AUTO_TEST_CASE(after_a_burst_all_are_let_through_again) {
+BOOST_AUTO_TEST_CASE(all_requests_are_admitted_after_a_burst) {
   Replay replay;
   replay.Play(0.4, 1.6, absl::Seconds(6));
   BOOST_TEST(replay.node().level() == 1U);
   replay.Play(0.4, 0.1, absl::Seconds(4));
-  const std::vector<Tally> calm = replay.Play(0.4, 0.1, absl::Seconds(2));
-  BOOST_TEST(calm[1].let_through == calm[1].asked);
+  const std::vector<Tally> normal_load = replay.Play(0.4, 0.1, absl::Seconds(2));
+  BOOST_TEST(normal_load[1].admitted == normal_load[1].offered);
 }
 
-BOOST_AUTO_TEST_CASE(a_service_that_tells_no_load_is_not_limited) {
+BOOST_AUTO_TEST_CASE(service_without_reported_load_is_not_limited) {
   Replay replay;
-  replay.tells_load = false;
+  replay.reports_load = false;
   const Tally flood = replay.Play(2, 0, absl::Seconds(4))[0];
-  BOOST_TEST(flood.let_through == flood.asked);
+  BOOST_TEST(flood.admitted == flood.offered);
 }
 
-BOOST_AUTO_TEST_CASE(without_a_target_latency_nothing_is_too_long) {
+BOOST_AUTO_TEST_CASE(requests_without_target_latency_are_never_limited) {
   ServiceAdmission admission(kFloor);
   Time now = absl::FromUnixSeconds(1000);
   for (int i = 0; i < 200; ++i, now += absl::Milliseconds(10)) {
-    admission.OnTold({4, 40, 4}, kWork, now);
+    admission.OnReportedLoad({4, 40, 4}, kWork, now);
     BOOST_TEST(admission.Admit(0, absl::InfiniteDuration(), now));
   }
 }
 
-BOOST_AUTO_TEST_CASE(news_that_end_limit_nobody_for_long) {
+BOOST_AUTO_TEST_CASE(limit_ends_when_load_reports_stop) {
   ServiceAdmission admission(kFloor);
   Time now = absl::FromUnixSeconds(1000);
   for (int i = 0; i < 200; ++i, now += absl::Milliseconds(10)) {
-    admission.OnTold({4, 40, 4}, kWork, now);
+    admission.OnReportedLoad({4, 40, 4}, kWork, now);
     admission.Admit(0, kTarget - kWork, now);
   }
   BOOST_TEST(admission.share() < 1);
   // Nothing was let through, so nothing is answered, and nothing tells that the queues are gone.
-  bool let_through = false;
-  for (int i = 0; i < 400 && !let_through; ++i, now += absl::Milliseconds(10)) {
-    let_through = admission.Admit(0, kTarget - kWork, now);
+  bool admitted = false;
+  for (int i = 0; i < 400 && !admitted; ++i, now += absl::Milliseconds(10)) {
+    admitted = admission.Admit(0, kTarget - kWork, now);
   }
-  BOOST_TEST(let_through);
+  BOOST_TEST(admitted);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/unit/forwarding/owner_limit_test.cc
+++ b/tests/unit/forwarding/owner_limit_test.cc
@@ -23,7 +23,7 @@
 BOOST_AUTO_TEST_CASE(rejections_of_concurrent_requests_reduce_the_limit_once) {
   admission::OwnerLimit limit;
   for (int i = 0; i < 8; ++i) {
-    limit.OnTurnedAway(kStart, kServiceTime, kStart + absl::Milliseconds(i));
+    limit.OnRejected(kStart, kServiceTime, kStart + absl::Milliseconds(i));
   }
   BOOST_TEST(limit.limit() >= 1);
   BOOST_TEST(limit.Allows(0, kStart + absl::Milliseconds(8)));
@@ -34,7 +34,7 @@
   admission::OwnerLimit limit;
   Time now = kStart;
   while (limit.limit() >= 0.5) {
-    limit.OnTurnedAway(now, kServiceTime, now);
+    limit.OnRejected(now, kServiceTime, now);
     now += absl::Milliseconds(1);
   }
   BOOST_TEST(!limit.Allows(0, now));
