--- a/src/core/admission/owner_limit.cc
+++ b/src/core/admission/owner_limit.cc
@@ -5,18 +5,20 @@
 namespace ladderstream::admission {
 namespace {
 
-// For a node that sees some ten answers a second of such an owner (docs/design/018).
+// These values suit a node that receives about ten answers a second from an overloaded owner.
 
-/// Added to the limit by each answer in time.
+/// Added to the limit by each timely answer.
 constexpr double kIncrease = 0.1;
-/// What a late answer, and one turned away, leave of the limit.
+/// Factors applied to the limit after a late answer and after a rejection.
 constexpr double kLateFactor = 0.85;
 constexpr double kRejectedFactor = 0.6;
-/// A first cut starts from this: with many nodes, each has few requests at an owner.
+/// Every cut, also the first one, leaves at most this: with many nodes, each has few requests at an
+/// owner.
 constexpr double kMaxLimitAfterCut = 2;
-/// One request in this many times its own duration keeps an owner under observation.
+/// The lowest limit, as requests per request duration: the node keeps sending to the owner, so that
+/// it notices a recovery.
 constexpr double kMinLimit = 1.0 / 16;
-/// An owner that nothing showed to be overloaded for so long is not limited.
+/// A timely answer removes the limit if the last cut is longer ago than this.
 constexpr Duration kLimitExpiry = absl::Seconds(2);
 
 }  // namespace
--- a/src/core/admission/owner_limit.h
+++ b/src/core/admission/owner_limit.h
@@ -1,13 +1,12 @@
-// How many requests this node may have at one owner of keys at a time, found from how its requests
-// fare there.
+// Adaptive limit on the requests that this node has in flight at one owner of keys.
 //
-// An owner has no substitute, and what it is sent beyond its capacity comes late or is turned away.
-// All nodes send to it without knowing of each other, so each adapts its own share: a little more
-// after each answer in time, a cut after a late one or one turned away (additive increase,
-// multiplicative decrease, as a transport's congestion window). With more nodes than the owner has
-// room for, a share falls below one request; then sends are spaced out.
+// No other back end can replace an owner, and requests beyond its capacity are answered late or
+// rejected. All nodes send to it without coordination, so each adapts its own limit by additive
+// increase and multiplicative decrease, as a transport adapts its congestion window: a small
+// increase after each timely answer, a cut after a late answer or a rejection. If more nodes send
+// than the owner has capacity for, the limit falls below one request and sends are spaced out.
 //
-// Pure and of one thread, like the rest of the library.
+// Performs no I/O, reads no clock and is not thread-safe, like the rest of the library.
 #pragma once
 
 #include <cstdint>
@@ -18,24 +17,27 @@
 
 class OwnerLimit {
  public:
-  /// An attempt started at `started` was answered, soon enough for its caller or not.
+  /// Records that an attempt that began at `started` was answered, or, with `in_time` false, that
+  /// it timed out. `in_time`: whether the answer was early enough for the caller's target latency.
   void OnAnswer(Time started, bool in_time, Time now);
-  /// The owner took none of it, or lost it, as full ones do. `service_time`: what it usually takes.
+  /// Records that the owner rejected or lost a request, as overloaded owners do. `service_time`:
+  /// the owner's usual time for one request.
   void OnRejected(Time started, Duration service_time, Time now);
 
-  /// Whether one more may be sent while `in_flight` are there.
+  /// Returns whether another request may be sent while `in_flight` are unanswered.
   bool Allows(uint32_t in_flight, Time now) const;
-  /// When a share below one request allows the next; in the past otherwise.
+  /// Returns when a limit below one request allows the next send; a time in the past otherwise.
   Time next_send() const { return next_send_; }
-  /// The limit; kUnlimited until an owner was found to be overloaded.
+  /// Returns the limit in requests; kUnlimited while no overload of the owner is known.
   double limit() const { return limit_; }
 
   static constexpr double kUnlimited = 1e9;
 
  private:
-  /// Cuts the limit, unless the attempt began before the last cut took effect.
+  /// Multiplies the limit by `factor`, unless the attempt began before the last cut: its outcome
+  /// does not reflect that cut yet.
   void Cut(double factor, Time started, Time now);
-  /// Leaves a pause after an attempt that took `elapsed`, so that a share below one is kept.
+  /// Enforces a limit below one request: delays the next send after an attempt that took `elapsed`.
   void SpaceOut(Duration elapsed, Time now);
 
   double limit_ = kUnlimited;
--- a/src/core/admission/service_admission.cc
+++ b/src/core/admission/service_admission.cc
@@ -7,35 +7,37 @@
 namespace ladderstream::admission {
 namespace {
 
-// docs/design/023 tells how they were weighed.
+// docs/design/023 explains the trade-offs between these values.
 
-/// The share of the slack that a queue may take while requests are turned away, and the one beyond
-/// which that begins: a request that joins such a queue is late. Less kept turns away more than it
-/// has to at a service that hovers at its capacity; more lets a flood make most answers late.
+/// The queueing delay that is the target while requests are rejected, and the one above which
+/// rejection starts, as shares of the slack. A request that joins a queue longer than the slack is
+/// late. A smaller target rejects more than necessary at a service close to its capacity; with a
+/// larger one, most answers are late under a large overload.
 constexpr double kTargetQueueShare = 0.7;
 constexpr double kLimitStartShare = 1;
-/// How much more, or less, than is answered is let through where the queue is empty, or twice as
-/// long as it should be.
+/// The admitted rate exceeds the completed rate by this share when queues are empty, and is below
+/// it by the same share, within kMinFactor, when they are twice the target length.
 constexpr double kGain = 0.6;
-/// At least this share of what is answered: queues work off the rest.
+/// The admitted rate is at least this share of the completed rate; queues drain by the difference.
 constexpr double kMinFactor = 0.6;
-/// Ranks above the least urgent are let through up to this share of what is answered, however long
-/// the queues are: a burst of the less urgent is worked off at its own cost.
+/// Ranks above the least urgent are admitted up to this share of the completed rate, however long
+/// the queues are, so that a burst of the least urgent rank drains at that rank's expense.
 constexpr double kUrgentFactor = 0.85;
-/// A node among seventy sees some twenty answers of a service a second.
+/// A node among seventy receives about twenty answers of a service per second.
 constexpr Duration kRateTimeConstant = absl::Seconds(1);
 constexpr Duration kDelayTimeConstant = absl::Milliseconds(300);
-/// Without any news a delay is forgotten with this time constant, and nobody is turned away after
-/// kMaxReportAge: where nothing is let through, nothing is answered that could tell of room.
+/// Without load reports the delay decays with this time constant, and after kMaxReportAge nothing
+/// is rejected: if no request is admitted, no answer can report that capacity is free again.
 constexpr Duration kStaleDelayTimeConstant = absl::Milliseconds(1200);
 constexpr Duration kMaxReportAge = absl::Seconds(1);
-/// The division is worked out no more often than this.
+/// Minimum time between two computations of the shares.
 constexpr Duration kUpdateInterval = absl::Milliseconds(20);
-/// Answered over offered says nothing of a service that this node asks for less, a second.
+/// Requests per second. Below this offered rate, the ratio of completed to offered requests is not
+/// meaningful, and no limit applies.
 constexpr double kMinOfferedRate = 4;
-/// A rank's shortest slack counts for so long.
+/// How long the shortest slack of a rank is kept.
 constexpr Duration kSlackWindow = absl::Seconds(2);
-/// Ranks with less than this share of the requests do not decide how long queues may be.
+/// Ranks with a smaller share of the requests are ignored in the slack of the service.
 constexpr double kMinRankShare = 0.02;
 
 }  // namespace
--- a/src/core/admission/service_admission.h
+++ b/src/core/admission/service_admission.h
@@ -1,17 +1,17 @@
-// How much of what a service is asked for is let through while its back ends' queues are too long,
-// and of which rank.
+// Admission control of one service: decides how many requests of each rank are admitted while the
+// queues of its back ends are too long.
 //
-// An overloaded service that takes everything answers everybody late. Each node hears, with every
-// answer of any back end, how many requests wait there, so the queueing delay of the service is
-// known within tenths of a second also where that of a single back end is not. While it is longer
-// than the most impatient callers bear, as much is let through as is answered: what is answered
-// over what is offered is much the same at every node, so all nodes reach about the same share by
-// the same rule, without telling each other. The less urgent rank is turned away first, down to a
-// floor, then the next.
+// An overloaded service that admits every request answers all of them late. Every answer of a back
+// end reports how many requests wait there, so each node knows the queueing delay of the service
+// within tenths of a second, even where it does not know that of a single back end. While the delay
+// exceeds the shortest slack of the callers, requests are admitted at about the rate at which they
+// complete. The ratio of completed to offered requests is similar at all nodes, so the same rule
+// gives them about the same share without coordination. The least urgent rank is rejected first,
+// down to a floor, then the next one.
 //
-// A service whose queues are short is never limited, nor is one whose back ends tell no load.
+// A service is not limited while its queues are short, nor if its back ends report no load.
 //
-// Pure and of one thread, like the rest of the library.
+// Performs no I/O, reads no clock and is not thread-safe, like the rest of the library.
 #pragma once
 
 #include <cstdint>
@@ -22,13 +22,13 @@
 
 namespace ladderstream::admission {
 
-/// Events a second, the latest ones counting most.
+/// Exponentially weighted rate of events.
 class RecentRate {
  public:
   explicit RecentRate(Duration time_constant) : time_constant_(time_constant) {}
 
   void Add(Time now);
-  /// A second.
+  /// Returns the rate in events per second.
   double Value(Time now) const;
 
  private:
@@ -39,29 +39,32 @@
 
 class ServiceAdmission {
  public:
-  /// `floor`: each rank's requests are let through at least so often as all together are, times
-  /// this; above 0 and at most 1, where no rank goes before another.
+  /// `floor`: the smallest share admitted of any rank, as a fraction of the share admitted of all
+  /// requests; above 0 and at most 1. At 1 no rank has precedence.
   explicit ServiceAdmission(double floor);
 
-  /// A back end told its load with an answer; `service_time` is what it takes for one request.
+  /// Records the load that a back end reported with an answer. `service_time`: its time for one
+  /// request.
   void OnReportedLoad(const catalog::ToldLoad& reported, Duration service_time, Time now);
-  /// A back end has done with a request: served it, or failed or refused it for another reason than
-  /// a lack of room.
+  /// Records that a back end finished a request: it served the request, or failed or rejected it
+  /// for a reason other than lack of capacity.
   void OnDone(Time now);
-  /// A request of this rank, 0 being the highest, would be sent. `slack`: how long it may wait in a
-  /// queue and still be answered within its target latency; infinite when it has none. Whether it
-  /// is let through.
+  /// Records an offered request and returns whether it is admitted. `rank`: 0 is the most urgent.
+  /// `slack`: how long the request may wait in a queue and still be answered within its target
+  /// latency; infinite if it has no target.
   bool Admit(uint32_t rank, Duration slack, Time now);
 
-  /// The queueing delay as told of late, over the back ends that answered.
+  /// Returns the recent queueing delay, averaged over the reports of all back ends that answered;
+  /// it decays while no report arrives.
   Duration Delay(Time now) const;
-  /// The share of what is offered that is let through; 1 when nothing is turned away.
+  /// Returns the admitted share of the offered requests; 1 when no limit applies.
   double share() const { return share_; }
-  /// Of one rank.
+  /// Returns the admitted share of the offered requests of one rank.
   double ShareOf(uint32_t rank) const;
-  /// The most urgent rank of which some are turned away; kNoLevel when nothing is.
+  /// Returns the most urgent rank of which requests are rejected; kNoLevel if there is none.
   uint32_t level() const { return level_; }
-  /// How long the queues take to get as short as they should be; zero when they are.
+  /// Returns how long the queues need to drain to their target length; zero if they are no longer
+  /// than that or no limit applies.
   Duration TimeUntilRoom(Time now) const;
 
   static constexpr uint32_t kNoLevel = UINT32_MAX;
@@ -71,20 +74,23 @@
     Rank();
 
     RecentRate offered;
-    /// The shortest slack seen of late.
+    /// The shortest recent slack.
     Duration slack = absl::InfiniteDuration();
     Time slack_at = absl::InfinitePast();
     double share = 1;
-    /// What it was let through less than its share.
+    /// The requests, including fractions, by which admissions are behind the share; one request is
+    /// admitted for each full unit.
     double credit = 0;
   };
 
-  /// Requests a second of all ranks.
+  /// Returns the offered requests per second of all ranks.
   double Offered(Time now) const;
-  /// How long the most impatient rank can wait, of those that matter.
+  /// Returns the shortest slack of the ranks that have a significant share of the requests.
   Duration Slack(Time now) const;
+  /// Recomputes the limit and the shares, at most once per update interval.
   void Update(Time now);
-  /// Gives each rank its floor, and the rest to the urgent first.
+  /// Divides `admitted` among the ranks (both rates in requests per second): each rank gets its
+  /// floor, and the remainder goes to the most urgent ranks first.
   void Divide(double offered, double admitted, Time now);
 
   const double floor_;
--- a/src/core/admission/wait_queue.h
+++ b/src/core/admission/wait_queue.h
@@ -29,7 +29,7 @@
   size_t size() const { return entries_.size(); }
   bool empty() const { return entries_.empty(); }
 
-  /// The waiting requests, first in line first.
+  /// Returns the waiting requests in the order in which they are to be served.
   std::vector<uint64_t> Requests() const {
     std::vector<uint64_t> requests(entries_.size());
     std::transform(entries_.begin(), entries_.end(), requests.begin(),
--- a/tests/unit/admission/service_admission_test.cc
+++ b/tests/unit/admission/service_admission_test.cc
@@ -1,5 +1,5 @@
-// Replays of load on a service through the admission of many nodes, without a network: back ends
-// with slots and queues, and callers of two ranks.
+// Simulates load on a service behind the admission control of many nodes, without a network: back
+// ends with slots and queues, and callers of two ranks.
 #include "core/admission/service_admission.h"
 
 #include <boost/test/unit_test.hpp>
@@ -15,7 +15,7 @@
 constexpr uint32_t kBackends = 20;
 constexpr uint32_t kSlots = 4;
 constexpr Duration kWork = absl::Milliseconds(200);
-/// Requests a second that the back ends bear.
+/// Requests per second that the back ends can serve.
 constexpr double kCapacity = kBackends * kSlots / 0.2;
 constexpr Duration kTarget = absl::Milliseconds(500);
 constexpr Duration kStep = absl::Milliseconds(1);
@@ -31,7 +31,8 @@
  public:
   Replay() : nodes_(kNodes, ServiceAdmission(kFloor)), backends_(kBackends) {}
 
-  /// Requests a second of the ranks 0 and 1, over the capacity, for `length`; what became of them.
+  /// Offers requests of ranks 0 and 1 for `length` and returns the outcome for each rank. `urgent`,
+  /// `other`: offered rates as multiples of kCapacity.
   std::vector<Tally> Play(double urgent, double other, Duration length) {
     std::vector<Tally> tallies(2);
     for (const Time end = now_ + length; now_ < end; now_ += kStep) {
@@ -113,7 +114,7 @@
   Replay replay;
   replay.Play(0.5, 0, absl::Seconds(3));
   const Tally flood = replay.Play(2, 0, absl::Seconds(8))[0];
-  // Half of them is all that it bears; taking in all of them, nobody is served in time.
+  // The capacity suffices for half of the requests; if all were admitted, all would be late.
   BOOST_TEST(Share(flood.in_time, flood.offered) > 0.3);
   BOOST_TEST(replay.node().share() < 1);
   BOOST_TEST((replay.node().Delay(replay.now()) < kTarget));
@@ -178,7 +179,7 @@
     admission.Admit(0, kTarget - kWork, now);
   }
   BOOST_TEST(admission.share() < 1);
-  // Nothing was let through, so nothing is answered, and nothing tells that the queues are gone.
+  // No request completes any more, so no report says that the queues are empty again.
   bool admitted = false;
   for (int i = 0; i < 400 && !admitted; ++i, now += absl::Milliseconds(10)) {
     admitted = admission.Admit(0, kTarget - kWork, now);
