--- a/src/core/changes/change.cc
+++ b/src/core/changes/change.cc
@@ -12,7 +12,7 @@
 
 using Faults = std::vector<ConfigurationFault>;
 
-const char* ShardedText(bool sharded) { return sharded ? "true" : "false"; }
+const char* BoolText(bool sharded) { return sharded ? "true" : "false"; }
 
 /// Makes each kind of change in a configuration, or adds to the faults.
 class ChangeVisitor {
@@ -25,7 +25,7 @@
   void operator()(const CreateService& change) {
     const std::string& name = change.service.name;
     if (!configuration_.services.emplace(name, change.service).second) {
-      AddTaken(services_, name);
+      AddAlreadyExists(services_, name);
     }
   }
 
@@ -39,8 +39,8 @@
     if (sharded != change.service.sharded) {
       services_.Element(change.service.name)
           .Field("sharded")
-          .AddInvalid(ShardedText(change.service.sharded),
-                      absl::StrCat(ShardedText(sharded), ", fixed at creation"));
+          .AddInvalid(BoolText(change.service.sharded),
+                      absl::StrCat(BoolText(sharded), ", fixed at creation"));
     }
     found->second = change.service;
   }
@@ -62,7 +62,7 @@
 
   void operator()(const CreateRoute& change) {
     if (FindRoute(change.route.name) != configuration_.routes.end()) {
-      AddTaken(routes_, change.route.name);
+      AddAlreadyExists(routes_, change.route.name);
       return;
     }
     configuration_.routes.push_back(change.route);
@@ -89,7 +89,7 @@
   void operator()(const UpdateLimits& change) { configuration_.limits = change.limits; }
 
  private:
-  static void AddTaken(const FaultCollector& list, const std::string& name) {
+  static void AddAlreadyExists(const FaultCollector& list, const std::string& name) {
     list.Element(name).Field("name").Add(ResultCode::kAlreadyExists, name, "a name not yet taken");
   }
 
--- a/src/core/changes/change_submission.cc
+++ b/src/core/changes/change_submission.cc
@@ -32,11 +32,11 @@
   }
   try {
     if (step_ == Step::kReadConfiguration) {
-      TakeConfiguration(reply);
+      LoadConfiguration(reply);
       return ReadOperation(absl::ZeroDuration());
     }
     const store::Row* const record = FindRow(reply, operation_row_);
-    return record == nullptr ? PrepareWrite() : DecideFromRecord(*record);
+    return record == nullptr ? PrepareWrite() : OutcomeFromRecord(*record);
   } catch (const ConfigurationError& error) {
     SubmissionOutcome outcome = Outcome(error.code(), error.what(), configuration_.version);
     outcome.faults = error.faults();
@@ -60,7 +60,7 @@
                      absl::StrCat("the store does not take the change: ", reply.detail),
                      configuration_.version);
     case StoreStatus::kUnknown:
-      undecided_ = version_;
+      unresolved_version_ = row_version_;
       return Retry(Step::kReadConfiguration, reply.detail, now);
     default:
       return Retry(Step::kWrite, reply.detail, now);
@@ -83,14 +83,14 @@
   return WriteRows{transaction_, delay};
 }
 
-void ChangeSubmission::TakeConfiguration(const StoreReply& reply) {
+void ChangeSubmission::LoadConfiguration(const StoreReply& reply) {
   const store::Row* const row = FindRow(reply, format_->row());
   configuration_ = row == nullptr ? catalog::Configuration() : format_->Decode(row->value);
-  value_ = row == nullptr ? "" : row->value;
-  version_ = row == nullptr ? 0 : row->version;
+  stored_value_ = row == nullptr ? "" : row->value;
+  row_version_ = row == nullptr ? 0 : row->version;
 }
 
-SubmissionAction ChangeSubmission::DecideFromRecord(const store::Row& row) const {
+SubmissionAction ChangeSubmission::OutcomeFromRecord(const store::Row& row) const {
   const ChangeRecord record = DecodeChangeRecord(row.value);
   if (record.digest != request_.digest) {
     return Outcome(
@@ -103,11 +103,11 @@
 }
 
 SubmissionAction ChangeSubmission::PrepareWrite() {
-  if (undecided_ == version_) {
+  if (unresolved_version_ == row_version_) {
     return Write(absl::ZeroDuration());
   }
   // What was read is newer than what an undecided write depends on: that one cannot come any more.
-  undecided_.reset();
+  unresolved_version_.reset();
   const uint64_t newest = configuration_.version;
   if (request_.expected_revision.has_value() && *request_.expected_revision != newest) {
     return Outcome(
@@ -116,7 +116,7 @@
         newest);
   }
   const catalog::Configuration changed = ApplyChange(configuration_, *request_.change);
-  const std::string value = format_->Encode(changed, value_);
+  const std::string value = format_->Encode(changed, stored_value_);
   if (value.size() > format_->max_value_bytes()) {
     throw ConfigurationError(
         {{ResultCode::kInvalidConfiguration, "configuration", absl::StrCat(value.size(), " bytes"),
@@ -124,14 +124,14 @@
   }
   written_revision_ = changed.version;
   transaction_ = {};
-  transaction_.conditions = {{format_->row(), version_}, {operation_row_, 0}};
+  transaction_.conditions = {{format_->row(), row_version_}, {operation_row_, 0}};
   transaction_.puts = {{format_->row(), value},
                        {operation_row_, EncodeChangeRecord({request_.digest, written_revision_})}};
   return Write(absl::ZeroDuration());
 }
 
 SubmissionAction ChangeSubmission::Retry(Step step, const std::string& detail, Time now) {
-  const Duration delay = NextDelay();
+  const Duration delay = NextBackoff();
   if (now + delay >= deadline_) {
     return GiveUp(detail);
   }
@@ -146,7 +146,7 @@
 }
 
 SubmissionAction ChangeSubmission::GiveUp(const std::string& detail) const {
-  if (undecided_.has_value()) {
+  if (unresolved_version_.has_value()) {
     return Outcome(ResultCode::kChangePending,
                    "the store did not say whether the change took effect; send it again under the "
                    "same operation id",
@@ -162,9 +162,9 @@
   return {code, std::move(message), revision, {}};
 }
 
-Duration ChangeSubmission::NextDelay() {
-  delay_ = std::clamp(delay_ * 2, timing_.first_delay, timing_.longest_delay);
-  return delay_;
+Duration ChangeSubmission::NextBackoff() {
+  backoff_ = std::clamp(backoff_ * 2, timing_.initial_backoff, timing_.max_backoff);
+  return backoff_;
 }
 
 }  // namespace ladderstream::changes
--- a/src/core/changes/change_submission.h
+++ b/src/core/changes/change_submission.h
@@ -36,8 +36,8 @@
 struct SubmissionTiming {
   /// After this, a change that is not decided is answered as it stands.
   Duration deadline = absl::Seconds(8);
-  Duration first_delay = absl::Milliseconds(50);
-  Duration longest_delay = absl::Milliseconds(800);
+  Duration initial_backoff = absl::Milliseconds(50);
+  Duration max_backoff = absl::Milliseconds(800);
 };
 
 /// Read the row `key` after `delay` and bring the answer to OnRead.
@@ -86,14 +86,14 @@
   SubmissionAction ReadConfiguration(Duration delay);
   SubmissionAction ReadOperation(Duration delay);
   SubmissionAction Write(Duration delay);
-  void TakeConfiguration(const store::StoreReply& reply);
-  SubmissionAction DecideFromRecord(const store::Row& row) const;
+  void LoadConfiguration(const store::StoreReply& reply);
+  SubmissionAction OutcomeFromRecord(const store::Row& row) const;
   SubmissionAction PrepareWrite();
   /// Goes on with `step` after a wait, or gives up at the deadline.
   SubmissionAction Retry(Step step, const std::string& detail, Time now);
   SubmissionAction GiveUp(const std::string& detail) const;
   SubmissionOutcome Outcome(ResultCode code, std::string message, uint64_t revision) const;
-  Duration NextDelay();
+  Duration NextBackoff();
 
   SubmissionRequest request_;
   ConfigurationFormatPtr format_;
@@ -101,17 +101,17 @@
   Time deadline_;
   store::RowKey operation_row_;
   Step step_ = Step::kReadConfiguration;
-  Duration delay_ = absl::ZeroDuration();
+  Duration backoff_ = absl::ZeroDuration();
   /// As last read.
   catalog::Configuration configuration_;
-  std::string value_;
-  store::RowVersion version_ = 0;
+  std::string stored_value_;
+  store::RowVersion row_version_ = 0;
   /// The write that is tried, and the revision that it makes.
   store::Transaction transaction_;
   uint64_t written_revision_ = 0;
   /// Set while a write without an answer may have taken effect or may yet: the version of the
   /// configuration's row that it depends on.
-  std::optional<store::RowVersion> undecided_;
+  std::optional<store::RowVersion> unresolved_version_;
 };
 
 }  // namespace ladderstream::changes
--- a/src/core/changes/validation.cc
+++ b/src/core/changes/validation.cc
@@ -44,13 +44,13 @@
 }
 
 /// `none` is the value that stands for "no bound", if the field has one.
-void RequireTime(Duration time, Duration none, const FaultCollector& at) {
+void RequireDuration(Duration time, Duration none, const FaultCollector& at) {
   if (time == none) {
     return;
   }
-  if (time <= absl::ZeroDuration() || time > kLongestTime) {
+  if (time <= absl::ZeroDuration() || time > kMaxDuration) {
     at.AddInvalid(absl::FormatDuration(time),
-                  absl::StrCat("more than 0, at most ", absl::FormatDuration(kLongestTime)));
+                  absl::StrCat("more than 0, at most ", absl::FormatDuration(kMaxDuration)));
   }
 }
 
@@ -60,13 +60,13 @@
     at.Field("health_path")
         .AddInvalid(service.health_path, "empty, or a path that begins with a slash");
   }
-  at.Field("max_connections").RequireInRange(service.max_connections, 0, kMaxConnectionsOfBackend);
-  RequireTime(service.warmup, absl::ZeroDuration(), at.Field("warmup_ms"));
+  at.Field("max_connections").RequireInRange(service.max_connections, 0, kMaxConnectionsPerBackend);
+  RequireDuration(service.warmup, absl::ZeroDuration(), at.Field("warmup_ms"));
 }
 
 void CheckTargets(const catalog::Configuration& configuration, const catalog::Route& route,
                   const FaultCollector& at) {
-  at.Field("count").RequireInRange(route.targets.size(), 1, kMaxTargets);
+  at.Field("count").RequireInRange(route.targets.size(), 1, kMaxTargetsPerRoute);
   absl::flat_hash_set<std::string> services;
   double sum = 0;
   for (const catalog::RouteTarget& target : route.targets) {
@@ -101,19 +101,20 @@
     at.Field("path_prefix")
         .AddInvalid(route.path_prefix, "a path that begins and ends with a slash");
   }
-  RequireTime(route.timeout, absl::InfiniteDuration(), at.Field("timeout_ms"));
-  RequireTime(route.target_latency, absl::InfiniteDuration(), at.Field("target_latency_ms"));
-  at.Field("max_attempts").RequireInRange(route.max_attempts, 1, kMaxAttemptsOfRequest);
+  RequireDuration(route.timeout, absl::InfiniteDuration(), at.Field("timeout_ms"));
+  RequireDuration(route.target_latency, absl::InfiniteDuration(), at.Field("target_latency_ms"));
+  at.Field("max_attempts").RequireInRange(route.max_attempts, 1, kMaxAttemptsPerRequest);
   at.Field("priority").RequireInRange(route.priority, 0, kMaxPriority);
   CheckTargets(configuration, route, at.Field("targets"));
 }
 
 /// Of two routes for the same requests only one could count.
-void CheckRoutesDiffer(const catalog::Configuration& configuration, const FaultCollector& at) {
-  absl::flat_hash_map<std::pair<std::string, std::string>, std::string> taken;
+void CheckRoutesUnique(const catalog::Configuration& configuration, const FaultCollector& at) {
+  absl::flat_hash_map<std::pair<std::string, std::string>, std::string> routes_by_prefix;
   for (const catalog::Route& route : configuration.routes) {
-    const auto [first, is_new] = taken.try_emplace({route.host, route.path_prefix}, route.name);
-    if (!is_new) {
+    const auto [first, inserted] =
+        routes_by_prefix.try_emplace({route.host, route.path_prefix}, route.name);
+    if (!inserted) {
       at.Element(route.name)
           .Field("path_prefix")
           .Add(ResultCode::kAlreadyExists, route.path_prefix,
@@ -126,8 +127,8 @@
   at.Field("max_header_bytes")
       .RequireInRange(limits.max_header_bytes, kMinHeaderBytes, kMaxHeaderBytes);
   at.Field("max_body_bytes").RequireInRange(limits.max_body_bytes, 1, kMaxBodyBytes);
-  RequireTime(limits.header_timeout, absl::InfiniteDuration(), at.Field("header_timeout_ms"));
-  RequireTime(limits.idle_timeout, absl::InfiniteDuration(), at.Field("idle_timeout_ms"));
+  RequireDuration(limits.header_timeout, absl::InfiniteDuration(), at.Field("header_timeout_ms"));
+  RequireDuration(limits.idle_timeout, absl::InfiniteDuration(), at.Field("idle_timeout_ms"));
 }
 
 }  // namespace
@@ -145,7 +146,7 @@
   for (const catalog::Route& route : configuration.routes) {
     CheckRoute(configuration, route, routes.Element(route.name));
   }
-  CheckRoutesDiffer(configuration, routes);
+  CheckRoutesUnique(configuration, routes);
   CheckLimits(configuration.limits, root.Field("limits"));
   return faults;
 }
--- a/tests/unit/changes/change_submission_test.cc
+++ b/tests/unit/changes/change_submission_test.cc
@@ -11,12 +11,13 @@
 using store::StoreReply;
 using store::StoreStatus;
 
-constexpr char kOperation[] = "deploy-1";
+constexpr char kOperationId[] = "deploy-1";
 
 struct Fixture {
   ChangeSubmission Submit(std::optional<uint64_t> expected) const {
-    return ChangeSubmission({kOperation, expected, std::make_shared<const Change>(change), digest},
-                            TestFormat(), SubmissionTiming(), now);
+    return ChangeSubmission(
+        {kOperationId, expected, std::make_shared<const Change>(change), digest}, TestFormat(),
+        SubmissionTiming(), now);
   }
 
   /// Answers everything truly until the end.
@@ -40,7 +41,7 @@
   }
 
   /// Gives the transaction that writes.
-  store::Transaction ReachWrite(ChangeSubmission& submission) {
+  store::Transaction RunToWrite(ChangeSubmission& submission) {
     SubmissionAction action = submission.Start();
     while (const auto* const read = std::get_if<ReadRow>(&action)) {
       action = submission.OnRead(table.Read(read->key), now);
@@ -68,22 +69,22 @@
 
 BOOST_FIXTURE_TEST_SUITE(change_submission, Fixture)
 
-BOOST_AUTO_TEST_CASE(accepted_is_durable) {
+BOOST_AUTO_TEST_CASE(an_accepted_change_is_durable) {
   const SubmissionOutcome outcome = RunToEnd(7);
   BOOST_TEST((outcome.code == ResultCode::kOk));
   BOOST_TEST(outcome.revision == 8U);
   BOOST_TEST(table.Newest().version == 8U);
-  BOOST_TEST(table.Record(kOperation)->revision == 8U);
+  BOOST_TEST(table.Record(kOperationId)->revision == 8U);
 }
 
 BOOST_AUTO_TEST_CASE(another_revision_is_a_conflict_with_the_newest) {
   const SubmissionOutcome outcome = RunToEnd(6);
   BOOST_TEST((outcome.code == ResultCode::kRevisionConflict));
   BOOST_TEST(outcome.revision == 7U);
-  BOOST_TEST(!table.Record(kOperation).has_value());
+  BOOST_TEST(!table.Record(kOperationId).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(a_bad_change_writes_nothing) {
+BOOST_AUTO_TEST_CASE(an_invalid_change_writes_nothing) {
   change = CreateRoute{SampleRoute("vip", "none")};
   const SubmissionOutcome outcome = RunToEnd(std::nullopt);
   BOOST_TEST((outcome.code == ResultCode::kUnknownName));
@@ -91,7 +92,7 @@
   BOOST_TEST(table.Newest().version == 7U);
 }
 
-BOOST_AUTO_TEST_CASE(a_value_that_the_store_would_not_take_is_refused) {
+BOOST_AUTO_TEST_CASE(a_value_above_the_store_limit_is_refused) {
   catalog::Configuration large = SampleConfiguration();
   for (int number = 0; number < 700; ++number) {
     large.routes.push_back(SampleRoute("route-" + std::to_string(number), "cards"));
@@ -118,9 +119,9 @@
   BOOST_TEST(table.Newest().version == 8U);
 }
 
-BOOST_AUTO_TEST_CASE(a_lost_answer_is_read_back) {
+BOOST_AUTO_TEST_CASE(a_write_without_response_is_read_back) {
   ChangeSubmission submission = Submit(7);
-  table.Execute(ReachWrite(submission));
+  table.Execute(RunToWrite(submission));
   SubmissionAction next = submission.OnWrite(ReplyOf(StoreStatus::kUnknown), now);
   const SubmissionOutcome outcome = RunToEnd(submission, std::move(next));
   BOOST_TEST((outcome.code == ResultCode::kOk));
@@ -128,32 +129,32 @@
   BOOST_TEST(table.Newest().version == 8U);
 }
 
-BOOST_AUTO_TEST_CASE(a_write_that_comes_late_takes_effect_once) {
+BOOST_AUTO_TEST_CASE(a_delayed_write_takes_effect_once) {
   ChangeSubmission submission = Submit(7);
-  const store::Transaction write = ReachWrite(submission);
+  const store::Transaction write = RunToWrite(submission);
   table.Delay(write);
   SubmissionAction next = submission.OnWrite(ReplyOf(StoreStatus::kUnknown), now);
   const SubmissionOutcome outcome = RunToEnd(submission, std::move(next));
   BOOST_TEST((outcome.code == ResultCode::kOk));
-  table.RunLate();
+  table.RunDelayed();
   BOOST_TEST(table.Newest().version == 8U);
 }
 
-BOOST_AUTO_TEST_CASE(a_write_that_may_still_arrive_is_pending_not_refused) {
+BOOST_AUTO_TEST_CASE(a_write_that_may_still_take_effect_is_pending) {
   ChangeSubmission submission = Submit(7);
-  table.Delay(ReachWrite(submission));
+  table.Delay(RunToWrite(submission));
   const SubmissionOutcome outcome = FailStore(
       submission, submission.OnWrite(ReplyOf(StoreStatus::kUnknown), now), StoreStatus::kRefused);
   BOOST_TEST((outcome.code == ResultCode::kChangePending));
   BOOST_TEST(outcome.revision == 8U);
-  table.RunLate();
+  table.RunDelayed();
   BOOST_TEST((RunToEnd(7).code == ResultCode::kOk));
   BOOST_TEST(table.Newest().version == 8U);
 }
 
-BOOST_AUTO_TEST_CASE(another_winner_ends_an_undecided_write) {
+BOOST_AUTO_TEST_CASE(a_newer_revision_rules_out_an_unresolved_write) {
   ChangeSubmission submission = Submit(7);
-  const store::Transaction write = ReachWrite(submission);
+  const store::Transaction write = RunToWrite(submission);
   SubmissionAction next = submission.OnWrite(ReplyOf(StoreStatus::kUnknown), now);
   catalog::Configuration other = SampleConfiguration();
   other.version = 8;
@@ -164,7 +165,7 @@
   BOOST_TEST((table.Execute(write).status == StoreStatus::kConflict));
 }
 
-BOOST_AUTO_TEST_CASE(a_store_that_refuses_leaves_nothing_pending) {
+BOOST_AUTO_TEST_CASE(a_store_that_refuses_writes_is_unavailable) {
   ChangeSubmission submission = Submit(7);
   const SubmissionOutcome outcome =
       FailStore(submission, submission.Start(), StoreStatus::kRefused);
--- a/tests/unit/changes/change_test.cc
+++ b/tests/unit/changes/change_test.cc
@@ -23,7 +23,7 @@
   BOOST_TEST(after.services.size() == 3U);
 }
 
-BOOST_AUTO_TEST_CASE(creating_twice_already_exists) {
+BOOST_AUTO_TEST_CASE(creating_an_existing_name_is_refused) {
   const std::vector<Change> changes = {CreateService{SampleService("cards")},
                                        CreateRoute{SampleRoute("pay", "scripts")}};
   for (const Change& change : changes) {
@@ -32,7 +32,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(what_is_sharded_stays_so) {
+BOOST_AUTO_TEST_CASE(sharded_is_fixed_at_creation) {
   try {
     ApplyChange(SampleConfiguration(), UpdateService{SampleService("scripts")});
     BOOST_FAIL("accepted");
@@ -43,7 +43,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(update_replaces_the_rest) {
+BOOST_AUTO_TEST_CASE(update_replaces_the_entry) {
   catalog::Route route = SampleRoute("read", "cards");
   route.timeout = absl::Seconds(2);
   const catalog::Configuration after = ApplyChange(SampleConfiguration(), UpdateRoute{route});
@@ -63,7 +63,7 @@
   BOOST_TEST(!after.services.contains("cards"));
 }
 
-BOOST_AUTO_TEST_CASE(unknown_names_are_named) {
+BOOST_AUTO_TEST_CASE(unknown_names_are_refused) {
   const std::vector<Change> changes = {UpdateService{SampleService("none")}, DeleteService{"none"},
                                        UpdateRoute{SampleRoute("none", "cards")},
                                        DeleteRoute{"none"},
--- a/tests/unit/changes/racing_operators_test.cc
+++ b/tests/unit/changes/racing_operators_test.cc
@@ -49,14 +49,14 @@
         now_ = std::max(now_, call->due);
         Step(*call);
         if (Chance(5)) {
-          table_.RunLate();
+          store_.RunDelayed();
         }
       }
-      SettlePending(calls);
-      CheckRound(calls);
+      ResolvePending(calls);
+      CheckRoundOutcomes(calls);
     }
-    table_.RunLate();
-    CheckChain();
+    store_.RunDelayed();
+    CheckFinalConfiguration();
   }
 
  private:
@@ -69,7 +69,7 @@
     call.request.digest = 1000 * round + number;
     call.request.change = std::make_shared<const Change>(CreateService{SampleService(name)});
     if (!Chance(30)) {
-      call.request.expected_revision = table_.Newest().version;
+      call.request.expected_revision = store_.Newest().version;
     }
     Start(call);
     return call;
@@ -92,8 +92,9 @@
   }
 
   void SetAction(Call& call, SubmissionAction action) {
-    const auto travel = absl::Milliseconds(std::uniform_int_distribution<int>(1, 60)(random_));
-    call.due = now_ + travel;
+    const auto network_delay =
+        absl::Milliseconds(std::uniform_int_distribution<int>(1, 60)(random_));
+    call.due = now_ + network_delay;
     if (const auto* const read = std::get_if<ReadRow>(&action)) {
       call.due += read->delay;
     } else if (const auto* const write = std::get_if<WriteRows>(&action)) {
@@ -107,7 +108,7 @@
   void Step(Call& call) {
     if (const auto* const read = std::get_if<ReadRow>(&call.action)) {
       const bool fails = !healthy_ && Chance(20);
-      const StoreReply reply = fails ? ReplyOf(StoreStatus::kUnknown) : table_.Read(read->key);
+      const StoreReply reply = fails ? ReplyOf(StoreStatus::kUnknown) : store_.Read(read->key);
       SetAction(call, call.submission->OnRead(reply, now_));
       return;
     }
@@ -117,21 +118,21 @@
 
   StoreReply ExecuteUnreliably(const store::Transaction& transaction) {
     if (healthy_) {
-      return table_.Execute(transaction);
+      return store_.Execute(transaction);
     }
     if (Chance(20)) {
       return ReplyOf(StoreStatus::kRefused);
     }
     if (Chance(15)) {
-      table_.Delay(transaction);
+      store_.Delay(transaction);
       return ReplyOf(StoreStatus::kUnknown);
     }
-    const StoreReply reply = table_.Execute(transaction);
+    const StoreReply reply = store_.Execute(transaction);
     return Chance(25) ? ReplyOf(StoreStatus::kUnknown) : reply;
   }
 
   /// Sends pending changes again under their ids, at last with everything healthy.
-  void SettlePending(std::vector<Call>& calls) {
+  void ResolvePending(std::vector<Call>& calls) {
     for (Call& call : calls) {
       for (int attempt = 0; call.outcome->code == ResultCode::kChangePending; ++attempt) {
         BOOST_TEST_REQUIRE(attempt <= kResends);
@@ -144,25 +145,25 @@
         healthy_ = false;
       }
     }
-    table_.RunLate();
+    store_.RunDelayed();
   }
 
-  void CheckRound(const std::vector<Call>& calls) {
+  void CheckRoundOutcomes(const std::vector<Call>& calls) {
     std::map<uint64_t, int> winners;
     for (const Call& call : calls) {
       const std::string& operation = call.request.operation_id;
       const bool accepted = call.outcome->code == ResultCode::kOk;
       BOOST_TEST_CONTEXT("operation " << operation << ": " << NameOf(call.outcome->code)) {
-        BOOST_TEST(table_.Record(operation).has_value() == accepted);
+        BOOST_TEST(store_.Record(operation).has_value() == accepted);
       }
       if (!accepted) {
         continue;
       }
-      const uint64_t made = call.outcome->revision;
-      BOOST_TEST(table_.Record(operation)->revision == made);
-      ++winners[made];
+      const uint64_t revision = call.outcome->revision;
+      BOOST_TEST(store_.Record(operation)->revision == revision);
+      ++winners[revision];
       if (call.request.expected_revision.has_value()) {
-        BOOST_TEST(made == *call.request.expected_revision + 1);
+        BOOST_TEST(revision == *call.request.expected_revision + 1);
       }
     }
     for (const auto& [revision, count] : winners) {
@@ -172,15 +173,15 @@
   }
 
   /// Each accepted change, and no other, stands in the newest configuration.
-  void CheckChain() {
-    const catalog::Configuration newest = table_.Newest();
+  void CheckFinalConfiguration() {
+    const catalog::Configuration newest = store_.Newest();
     BOOST_TEST(newest.version == kFirstRevision + accepted_);
     BOOST_TEST(newest.services.size() == SampleConfiguration().services.size() + accepted_);
     BOOST_TEST(accepted_ >= static_cast<size_t>(kChangesEach) / 2);
   }
 
   std::mt19937_64 random_;
-  SimulatedStore table_;
+  SimulatedStore store_;
   Time now_ = absl::FromUnixSeconds(1000);
   bool healthy_ = false;
   size_t accepted_ = 0;
--- a/tests/unit/changes/simulated_store.h
+++ b/tests/unit/changes/simulated_store.h
@@ -48,14 +48,14 @@
                    result.rows);
   }
 
-  /// Keeps `transaction` on its way; RunLate lets it arrive.
-  void Delay(const store::Transaction& transaction) { late_.push_back(transaction); }
+  /// Keeps `transaction` on its way; RunDelayed lets it arrive.
+  void Delay(const store::Transaction& transaction) { delayed_.push_back(transaction); }
 
-  void RunLate() {
-    for (const auto& transaction : late_) {
+  void RunDelayed() {
+    for (const auto& transaction : delayed_) {
       Execute(transaction);
     }
-    late_.clear();
+    delayed_.clear();
   }
 
   catalog::Configuration Newest() const {
@@ -70,7 +70,7 @@
 
  private:
   fleet::MetadataStore rows_;
-  std::vector<store::Transaction> late_;
+  std::vector<store::Transaction> delayed_;
 };
 
 }  // namespace ladderstream::changes
--- a/tests/unit/changes/validation_test.cc
+++ b/tests/unit/changes/validation_test.cc
@@ -14,12 +14,12 @@
 namespace {
 
 /// One thing made wrong, and the place where it shall be found.
-struct Wrong {
+struct InvalidField {
   std::string field;
-  std::function<void(catalog::Configuration&)> make;
+  std::function<void(catalog::Configuration&)> apply;
 };
 
-const std::vector<Wrong> kWrongs = {
+const std::vector<InvalidField> kInvalidFields = {
     {"services[cards].health_path", [](auto& c) { c.services["cards"].health_path = "health"; }},
     {"services[cards].max_connections",
      [](auto& c) { c.services["cards"].max_connections = 70000; }},
@@ -54,19 +54,19 @@
 
 BOOST_AUTO_TEST_SUITE(validation)
 
-BOOST_AUTO_TEST_CASE(a_sound_configuration_has_no_faults) {
+BOOST_AUTO_TEST_CASE(a_valid_configuration_has_no_faults) {
   BOOST_TEST(Validate(SampleConfiguration()).empty());
 }
 
-BOOST_AUTO_TEST_CASE(a_wrong_field_is_named) {
-  for (const Wrong& wrong : kWrongs) {
+BOOST_AUTO_TEST_CASE(an_invalid_field_is_named) {
+  for (const InvalidField& invalid : kInvalidFields) {
     catalog::Configuration configuration = SampleConfiguration();
-    wrong.make(configuration);
-    BOOST_TEST(NamesField(Validate(configuration), wrong.field), wrong.field);
+    invalid.apply(configuration);
+    BOOST_TEST(NamesField(Validate(configuration), invalid.field), invalid.field);
   }
 }
 
-BOOST_AUTO_TEST_CASE(all_faults_are_told_at_once) {
+BOOST_AUTO_TEST_CASE(all_faults_are_reported_at_once) {
   catalog::Configuration configuration = SampleConfiguration();
   configuration.routes[0].host = "";
   configuration.routes[1].max_attempts = 99;
@@ -74,7 +74,7 @@
   BOOST_TEST(Validate(configuration).size() == 3U);
 }
 
-BOOST_AUTO_TEST_CASE(operation_ids) {
+BOOST_AUTO_TEST_CASE(operation_id_syntax) {
   BOOST_TEST(IsOperationId("deploy-1.2_x"));
   BOOST_TEST(!IsOperationId(""));
   BOOST_TEST(!IsOperationId("a/b"));
