--- a/src/core/changes/change.cc
+++ b/src/core/changes/change.cc
@@ -12,9 +12,9 @@
 
 using Faults = std::vector<ConfigurationFault>;
 
-const char* BoolText(bool sharded) { return sharded ? "true" : "false"; }
+const char* BoolText(bool value) { return value ? "true" : "false"; }
 
-/// Makes each kind of change in a configuration, or adds to the faults.
+/// Applies a change to `configuration` in place; appends to `faults` what prevents it.
 class ChangeVisitor {
  public:
   ChangeVisitor(catalog::Configuration* configuration, Faults* faults)
@@ -54,7 +54,7 @@
     if (route != nullptr) {
       services_.Element(change.name)
           .Add(ResultCode::kStillInUse, absl::StrCat("route ", route->name),
-               "a service to which no route leads");
+               "a service that no route targets");
       return;
     }
     configuration_.services.erase(change.name);
@@ -90,12 +90,13 @@
 
  private:
   static void AddAlreadyExists(const FaultCollector& list, const std::string& name) {
-    list.Element(name).Field("name").Add(ResultCode::kAlreadyExists, name, "a name not yet taken");
+    list.Element(name).Field("name").Add(ResultCode::kAlreadyExists, name,
+                                         "a name that is not in use");
   }
 
   static void AddUnknown(const FaultCollector& list, const std::string& name) {
     list.Element(name).Field("name").Add(ResultCode::kUnknownName, name,
-                                         "a name of the configuration");
+                                         "a name that exists in the configuration");
   }
 
   std::vector<catalog::Route>::iterator FindRoute(const std::string& name) {
--- a/src/core/changes/change.h
+++ b/src/core/changes/change.h
@@ -1,4 +1,4 @@
-// A change of the configuration by an operator, and what it makes of a configuration. No I/O.
+// Configuration changes that operators request, and their application to a configuration. No I/O.
 #pragma once
 
 #include <memory>
@@ -14,12 +14,12 @@
   catalog::Service service;
 };
 
-/// Replaces the whole service of that name; whether it is sharded stays.
+/// Replaces the service of the same name. `sharded` must not differ from the current value.
 struct UpdateService {
   catalog::Service service;
 };
 
-/// Refused while a route leads to the service.
+/// Rejected with kStillInUse while any route targets the service.
 struct DeleteService {
   std::string name;
 };
@@ -28,7 +28,7 @@
   catalog::Route route;
 };
 
-/// Replaces the whole route of that name.
+/// Replaces the route of the same name.
 struct UpdateRoute {
   catalog::Route route;
 };
@@ -47,8 +47,9 @@
 
 using ChangePtr = std::shared_ptr<const Change>;
 
-/// Gives `configuration` with the change made and the version one higher. Throws
-/// ConfigurationError with every fault when the change does not fit.
+/// Returns a copy of `configuration` with `change` applied and the version increased by one. Throws
+/// ConfigurationError, which lists every fault, if the change cannot be applied or the result is
+/// invalid.
 catalog::Configuration ApplyChange(const catalog::Configuration& configuration,
                                    const Change& change);
 
--- a/src/core/changes/change_submission.cc
+++ b/src/core/changes/change_submission.cc
@@ -43,7 +43,7 @@
     return outcome;
   } catch (const Error& error) {
     return Outcome(ResultCode::kInternal,
-                   absl::StrCat("the store holds an unreadable row: ", error.what()),
+                   absl::StrCat("cannot decode a row read from the store: ", error.what()),
                    configuration_.version);
   }
 }
@@ -53,11 +53,12 @@
     case StoreStatus::kDone:
       return Outcome(ResultCode::kOk, "accepted", written_revision_);
     case StoreStatus::kConflict:
-      // Another change came first, or this one took effect before: both rows tell which.
-      return Retry(Step::kReadConfiguration, "another change came first", now);
+      // Either another change committed first or an earlier attempt of this one took effect.
+      // Reading both rows again shows which.
+      return Retry(Step::kReadConfiguration, "another change committed first", now);
     case StoreStatus::kInvalid:
       return Outcome(ResultCode::kInternal,
-                     absl::StrCat("the store does not take the change: ", reply.detail),
+                     absl::StrCat("the store rejected the transaction as invalid: ", reply.detail),
                      configuration_.version);
     case StoreStatus::kUnknown:
       unresolved_version_ = row_version_;
@@ -72,7 +73,8 @@
   return ReadRow{format_->row(), delay};
 }
 
-/// After the configuration: a change under this id that made a newer one than was read is seen.
+/// Runs after ReadConfiguration, so that it finds the record of a change with this operation id
+/// even if that change committed after the configuration was read.
 SubmissionAction ChangeSubmission::ReadOperation(Duration delay) {
   step_ = Step::kReadOperation;
   return ReadRow{operation_row_, delay};
@@ -106,14 +108,15 @@
   if (unresolved_version_ == row_version_) {
     return Write(absl::ZeroDuration());
   }
-  // What was read is newer than what an undecided write depends on: that one cannot come any more.
+  // The row is newer than the version on which an unanswered write is conditional, so that write
+  // can no longer take effect.
   unresolved_version_.reset();
   const uint64_t newest = configuration_.version;
   if (request_.expected_revision.has_value() && *request_.expected_revision != newest) {
-    return Outcome(
-        ResultCode::kRevisionConflict,
-        absl::StrCat("expected revision ", *request_.expected_revision, ", the newest is ", newest),
-        newest);
+    return Outcome(ResultCode::kRevisionConflict,
+                   absl::StrCat("expected revision ", *request_.expected_revision,
+                                ", found revision ", newest),
+                   newest);
   }
   const catalog::Configuration changed = ApplyChange(configuration_, *request_.change);
   const std::string value = format_->Encode(changed, stored_value_);
@@ -147,13 +150,14 @@
 
 SubmissionAction ChangeSubmission::GiveUp(const std::string& detail) const {
   if (unresolved_version_.has_value()) {
-    return Outcome(ResultCode::kChangePending,
-                   "the store did not say whether the change took effect; send it again under the "
-                   "same operation id",
-                   written_revision_);
+    return Outcome(
+        ResultCode::kChangePending,
+        "the store did not confirm whether the change took effect; send the change again "
+        "with the same operation id",
+        written_revision_);
   }
   return Outcome(ResultCode::kStoreUnavailable,
-                 absl::StrCat("the change was not made before the deadline: ", detail),
+                 absl::StrCat("the change was not committed before the deadline: ", detail),
                  configuration_.version);
 }
 
--- a/src/core/changes/change_submission.h
+++ b/src/core/changes/change_submission.h
@@ -1,11 +1,14 @@
-// Carries one change of the configuration from the operator's call to an outcome.
+// State machine that takes one configuration change from the operator's call to its outcome.
 //
-// The change commits by one conditional transaction that writes the configuration's row and the
-// operation's row: the first as it was read, the second not there yet. A write without an answer is
-// settled by reading back: the operation's row shows that it took effect, and a newer configuration
-// that it never will. If neither is there, the very same write is sent again, of which at most one
-// takes effect. No I/O, no thread, no clock: each answer in,
-// the next action out. Not thread-safe. See docs/design/015-one-ownership-design.md.
+// The change commits in one conditional transaction that writes the configuration row and the
+// operation row. Its conditions are that the configuration row still has the version that was read
+// and that the operation row does not exist. If the store does not respond to the write, both rows
+// are read back: an existing operation row shows that the write took effect, a newer configuration
+// without it that the write never will. If neither is found, the identical transaction is sent
+// again; its conditions let at most one of the copies take effect.
+//
+// Performs no I/O and uses no thread or clock: the caller executes each action and passes the reply
+// in, which returns the next action. Not thread-safe. See docs/design/015-one-ownership-design.md.
 #pragma once
 
 #include <cstdint>
@@ -24,50 +27,53 @@
 
 struct SubmissionRequest {
   std::string operation_id;
-  /// The revision the change is made for; empty for any.
+  /// The revision that the change is based on; empty accepts any.
   std::optional<uint64_t> expected_revision;
   /// Never null.
   ChangePtr change;
-  /// The same for the same change, in every process.
+  /// A hash of the change that is equal in every process (see DigestOf).
   uint64_t digest = 0;
 };
 
-/// How long to go on, and how to wait between tries.
+/// The overall time limit and the back-off between attempts.
 struct SubmissionTiming {
-  /// After this, a change that is not decided is answered as it stands.
+  /// Time from the call until an undecided change is answered with kChangePending or
+  /// kStoreUnavailable.
   Duration deadline = absl::Seconds(8);
   Duration initial_backoff = absl::Milliseconds(50);
   Duration max_backoff = absl::Milliseconds(800);
 };
 
-/// Read the row `key` after `delay` and bring the answer to OnRead.
+/// Read the row `key` after `delay` and pass the reply to OnRead.
 struct ReadRow {
   store::RowKey key;
   Duration delay = absl::ZeroDuration();
 };
 
-/// Run the transaction after `delay` and bring the answer to OnWrite.
+/// Execute the transaction after `delay` and pass the reply to OnWrite.
 struct WriteRows {
   store::Transaction transaction;
   Duration delay = absl::ZeroDuration();
 };
 
-/// The end: tell the operator.
+/// The final action: report the outcome to the operator.
 struct SubmissionOutcome {
-  /// kOk: durable, never to revert. kChangePending: not decided. Anything else: the change was
-  /// refused and did not take effect; kStoreUnavailable says so only of this call, not of an
-  /// earlier one under the same operation id.
+  /// kOk: the change is durable and will not be reverted. kChangePending: the change may have taken
+  /// effect or may still do so. Any other code: the change was rejected and did not take effect;
+  /// kStoreUnavailable states this only for this call, not for an earlier one with the same
+  /// operation id.
   ResultCode code = ResultCode::kOk;
   std::string message;
-  /// kOk and kChangePending: the revision that the change made. Otherwise the newest one that was
-  /// read; 0 when none was.
+  /// kOk and kChangePending: the revision that the change creates. kOperationIdReused: the revision
+  /// that the recorded change created. Otherwise the newest revision read; 0 if none was.
   uint64_t revision = 0;
   std::vector<ConfigurationFault> faults;
 };
 
 using SubmissionAction = std::variant<ReadRow, WriteRows, SubmissionOutcome>;
 
-/// The row of `key` in the answer to a read that began at it; null when there is none.
+/// Returns the row `key` from the reply to a read that starts at `key`; null if it is missing or
+/// removed.
 const store::Row* FindRow(const store::StoreReply& reply, const store::RowKey& key);
 
 class ChangeSubmission {
@@ -75,7 +81,7 @@
   ChangeSubmission(SubmissionRequest request, ConfigurationFormatPtr format,
                    const SubmissionTiming& timing, Time now);
 
-  /// The first action.
+  /// Returns the first action.
   SubmissionAction Start();
   SubmissionAction OnRead(const store::StoreReply& reply, Time now);
   SubmissionAction OnWrite(const store::StoreReply& reply, Time now);
@@ -89,7 +95,7 @@
   void LoadConfiguration(const store::StoreReply& reply);
   SubmissionAction OutcomeFromRecord(const store::Row& row) const;
   SubmissionAction PrepareWrite();
-  /// Goes on with `step` after a wait, or gives up at the deadline.
+  /// Returns the action of `step` after the back-off, or GiveUp() if that would reach the deadline.
   SubmissionAction Retry(Step step, const std::string& detail, Time now);
   SubmissionAction GiveUp(const std::string& detail) const;
   SubmissionOutcome Outcome(ResultCode code, std::string message, uint64_t revision) const;
@@ -102,15 +108,15 @@
   store::RowKey operation_row_;
   Step step_ = Step::kReadConfiguration;
   Duration backoff_ = absl::ZeroDuration();
-  /// As last read.
+  /// The configuration as last read, its stored value and the version of its row.
   catalog::Configuration configuration_;
   std::string stored_value_;
   store::RowVersion row_version_ = 0;
-  /// The write that is tried, and the revision that it makes.
+  /// The transaction being attempted and the revision that it creates.
   store::Transaction transaction_;
   uint64_t written_revision_ = 0;
-  /// Set while a write without an answer may have taken effect or may yet: the version of the
-  /// configuration's row that it depends on.
+  /// The version of the configuration row on which an unanswered write is conditional. Set while
+  /// that write may have taken effect or may still do so.
   std::optional<store::RowVersion> unresolved_version_;
 };
 
--- a/src/core/changes/configuration_fault.h
+++ b/src/core/changes/configuration_fault.h
@@ -1,4 +1,4 @@
-// What is wrong with a change of the configuration: all of it at once.
+// Faults that make a configuration change invalid, and the error that reports all of them together.
 #pragma once
 
 #include <string>
@@ -8,24 +8,23 @@
 
 namespace ladderstream::changes {
 
-/// One fault.
 struct ConfigurationFault {
   ResultCode code = ResultCode::kInvalidConfiguration;
-  /// Such as "routes[read].targets[scripts].weight".
+  /// The path of the field, such as "routes[read].targets[scripts].weight".
   std::string field;
-  /// The value as given.
+  /// The invalid value.
   std::string value;
-  /// What is allowed instead.
+  /// A description of the values that are allowed.
   std::string allowed;
 
   bool operator==(const ConfigurationFault&) const = default;
 };
 
-/// Writes `fault` on one line.
+/// Returns `fault` as one line of text.
 std::string FormatFault(const ConfigurationFault& fault);
 
-/// Thrown for a change that is refused. Its code is the faults' common one, or
-/// kInvalidConfiguration when they differ; what() has one line for each.
+/// Thrown for a rejected change. Its code is the code that all faults share, or
+/// kInvalidConfiguration if they differ; what() holds one line per fault.
 class ConfigurationError : public Error {
  public:
   explicit ConfigurationError(std::vector<ConfigurationFault> faults);
--- a/src/core/changes/configuration_format.h
+++ b/src/core/changes/configuration_format.h
@@ -1,4 +1,4 @@
-// How the platform keeps the configuration, as far as a change must know it.
+// Interface to the platform's stored form of the configuration.
 #pragma once
 
 #include <memory>
@@ -15,14 +15,15 @@
  public:
   virtual ~ConfigurationFormat() = default;
 
+  /// The key of the row that holds the configuration.
   virtual store::RowKey row() const = 0;
-  /// Longer values are not taken by the store.
+  /// The store rejects longer values.
   virtual size_t max_value_bytes() const = 0;
-  /// Throws Error(kInvalidConfiguration) naming the place.
+  /// Throws Error(kInvalidConfiguration) that names the invalid field.
   virtual catalog::Configuration Decode(std::string_view value) const = 0;
-  /// Gives the row's value. `previous` is the value that it replaces, empty if there is none: what
-  /// it holds besides the fields of `configuration` stays. Throws Error(kInvalidConfiguration) when
-  /// `previous` cannot be read.
+  /// Returns the row's value. `previous` is the value that it replaces, empty if there is none;
+  /// data in it that is not part of `configuration` is preserved. Throws
+  /// Error(kInvalidConfiguration) if `previous` cannot be decoded.
   virtual std::string Encode(const catalog::Configuration& configuration,
                              std::string_view previous) const = 0;
 };
--- a/src/core/changes/fault_collector.h
+++ b/src/core/changes/fault_collector.h
@@ -1,4 +1,4 @@
-// Gathers faults while a configuration is checked.
+// Collects faults while a configuration is validated.
 #pragma once
 
 #include <absl/strings/str_cat.h>
@@ -12,18 +12,19 @@
 
 namespace ladderstream::changes {
 
-/// Adds faults under a field path that grows with the nesting.
+/// Appends faults for the field at `path` to a list that the caller owns and that must outlive the
+/// collector.
 class FaultCollector {
  public:
   FaultCollector(std::string path, std::vector<ConfigurationFault>* faults)
       : path_(std::move(path)), faults_(faults) {}
 
-  /// The collector for a field within this one's.
+  /// Returns a collector for the field `name` of this field.
   FaultCollector Field(const std::string& name) const {
     return {path_.empty() ? name : absl::StrCat(path_, ".", name), faults_};
   }
 
-  /// The collector for the element `name` of this list.
+  /// Returns a collector for the element `name` of this list.
   FaultCollector Element(const std::string& name) const {
     return {absl::StrCat(path_, "[", name, "]"), faults_};
   }
--- a/src/core/changes/validation.cc
+++ b/src/core/changes/validation.cc
@@ -36,14 +36,16 @@
          std::all_of(host.begin(), host.end(), allowed);
 }
 
-/// Whether `path` begins with a slash and holds only what a request line may carry.
+/// Returns whether `path` begins with a slash and contains only characters that are valid in the
+/// path of a request line.
 bool IsPath(const std::string& path) {
   const auto allowed = [](char c) { return absl::ascii_isgraph(c) && c != '?' && c != '#'; };
   return !path.empty() && path.size() <= kMaxPathLength && path.front() == '/' &&
          std::all_of(path.begin(), path.end(), allowed);
 }
 
-/// `none` is the value that stands for "no bound", if the field has one.
+/// Adds a fault unless `time` is in (0, kMaxDuration] or equals `none`, the field's value for "no
+/// limit".
 void RequireDuration(Duration time, Duration none, const FaultCollector& at) {
   if (time == none) {
     return;
@@ -76,7 +78,7 @@
                                      "the name of a service");
     }
     if (!services.insert(target.service).second) {
-      target_at.Field("service").AddInvalid(target.service, "each service once");
+      target_at.Field("service").AddInvalid(target.service, "each service at most once");
     }
     if (!std::isfinite(target.weight) || target.weight < 0 || target.weight > kMaxTargetWeight) {
       target_at.Field("weight").AddInvalid(
@@ -108,7 +110,8 @@
   CheckTargets(configuration, route, at.Field("targets"));
 }
 
-/// Of two routes for the same requests only one could count.
+/// Adds a fault for each route that repeats the host and path prefix of an earlier one: the same
+/// requests would match both, and only one of them could be used.
 void CheckRoutesUnique(const catalog::Configuration& configuration, const FaultCollector& at) {
   absl::flat_hash_map<std::pair<std::string, std::string>, std::string> routes_by_prefix;
   for (const catalog::Route& route : configuration.routes) {
@@ -118,7 +121,8 @@
       at.Element(route.name)
           .Field("path_prefix")
           .Add(ResultCode::kAlreadyExists, route.path_prefix,
-               absl::StrCat("a prefix that route ", first->second, " of this host does not have"));
+               absl::StrCat("a prefix that route ", first->second,
+                            " of the same host does not use"));
     }
   }
 }
--- a/src/core/changes/validation.h
+++ b/src/core/changes/validation.h
@@ -1,4 +1,4 @@
-// Checks a whole configuration. No I/O.
+// Validation of a complete configuration. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -10,7 +10,7 @@
 
 namespace ladderstream::changes {
 
-// Bounds on what operators may declare.
+// Limits on the values that operators may configure.
 inline constexpr size_t kMaxNameLength = 64;
 inline constexpr size_t kMaxHostLength = 253;
 inline constexpr size_t kMaxPathLength = 1024;
@@ -26,10 +26,10 @@
 inline constexpr size_t kMaxHeaderBytes = 1U << 20U;
 inline constexpr size_t kMaxBodyBytes = 1U << 30U;
 
-/// Gives every fault of `configuration`; none when it may be put in force.
+/// Returns every fault of `configuration`; empty if it is valid.
 std::vector<ConfigurationFault> Validate(const catalog::Configuration& configuration);
 
-/// Whether `id` may be an operation id: 1 to 64 characters of [A-Za-z0-9._-].
+/// Returns whether `id` is a valid operation id: 1 to 64 characters of [A-Za-z0-9._-].
 bool IsOperationId(const std::string& id);
 
 }  // namespace ladderstream::changes
--- a/tests/unit/changes/change_submission_test.cc
+++ b/tests/unit/changes/change_submission_test.cc
@@ -1,4 +1,5 @@
-// One change at a time: what the operator is told in each case.
+// The outcome that the operator gets for a single change, per response of the store: durable,
+// rejected, or pending while an unanswered write may still take effect.
 #include "core/changes/change_submission.h"
 
 #include <boost/test/unit_test.hpp>
@@ -20,7 +21,7 @@
         SubmissionTiming(), now);
   }
 
-  /// Answers everything truly until the end.
+  /// Executes all actions against the store until the outcome.
   SubmissionOutcome RunToEnd(ChangeSubmission& submission, SubmissionAction action) {
     while (!std::holds_alternative<SubmissionOutcome>(action)) {
       if (const auto* const read = std::get_if<ReadRow>(&action)) {
@@ -40,7 +41,7 @@
     return RunToEnd(submission, submission.Start());
   }
 
-  /// Gives the transaction that writes.
+  /// Executes the reads and returns the transaction of the first write.
   store::Transaction RunToWrite(ChangeSubmission& submission) {
     SubmissionAction action = submission.Start();
     while (const auto* const read = std::get_if<ReadRow>(&action)) {
@@ -49,7 +50,7 @@
     return std::get<WriteRows>(action).transaction;
   }
 
-  /// Answers everything with `status` until the end.
+  /// Replies to every action with `status` until the outcome, one second apart.
   SubmissionOutcome FailStore(ChangeSubmission& submission, SubmissionAction action,
                               StoreStatus status) {
     while (!std::holds_alternative<SubmissionOutcome>(action)) {
--- a/tests/unit/changes/change_test.cc
+++ b/tests/unit/changes/change_test.cc
@@ -1,4 +1,5 @@
-// Each change makes exactly its own difference, or is refused with its code.
+// Each kind of change modifies only its own part of the configuration, or is rejected with the
+// matching result code.
 #include "core/changes/change.h"
 
 #include <boost/test/unit_test.hpp>
--- a/tests/unit/changes/racing_operators_test.cc
+++ b/tests/unit/changes/racing_operators_test.cc
@@ -1,5 +1,6 @@
-// Many operators race over a store that refuses, loses answers and runs transactions late:
-// exactly one winner per revision, and nobody is told a wrong outcome.
+// Several operators change the configuration concurrently over a store that rejects transactions,
+// loses replies and executes transactions late. Guards against two changes that create the same
+// revision, and against an outcome that differs from what the store holds.
 #include <absl/strings/str_cat.h>
 
 #include <boost/test/data/test_case.hpp>
@@ -25,7 +26,7 @@
 constexpr int kResends = 6;
 const uint64_t kFirstRevision = SampleConfiguration().version;
 
-/// One operator's call under way, and what it was told.
+/// One operator's call in progress, and its outcome once it has ended.
 struct Call {
   SubmissionRequest request;
   std::optional<ChangeSubmission> submission;
@@ -131,7 +132,8 @@
     return Chance(25) ? ReplyOf(StoreStatus::kUnknown) : reply;
   }
 
-  /// Sends pending changes again under their ids, at last with everything healthy.
+  /// Sends pending changes again with the same operation ids; the last attempt uses a healthy
+  /// store.
   void ResolvePending(std::vector<Call>& calls) {
     for (Call& call : calls) {
       for (int attempt = 0; call.outcome->code == ResultCode::kChangePending; ++attempt) {
@@ -172,7 +174,7 @@
     accepted_ += winners.size();
   }
 
-  /// Each accepted change, and no other, stands in the newest configuration.
+  /// Checks that the newest configuration contains every accepted change and no other.
   void CheckFinalConfiguration() {
     const catalog::Configuration newest = store_.Newest();
     BOOST_TEST(newest.version == kFirstRevision + accepted_);
--- a/tests/unit/changes/simulated_store.h
+++ b/tests/unit/changes/simulated_store.h
@@ -1,4 +1,4 @@
-// A metadata store for tests whose answers are true, lost, or whose writes come late.
+// A metadata store for tests that can delay transactions past the reply that their caller gets.
 #pragma once
 
 #include <optional>
@@ -15,7 +15,7 @@
 
 inline constexpr size_t kMaxValueBytes = 65536;
 
-/// As the product keeps the configuration on its platform.
+/// The format that the operator service uses on this platform.
 inline ConfigurationFormatPtr TestFormat() {
   return operator_service::MakeFormat(platform::MakeAdapter(), kMaxValueBytes);
 }
@@ -41,14 +41,14 @@
                    row == nullptr ? std::vector<store::Row>() : std::vector<store::Row>{*row});
   }
 
-  /// Runs `transaction` now and gives its true answer.
+  /// Executes `transaction` immediately and returns its actual result.
   store::StoreReply Execute(const store::Transaction& transaction) {
     const fleet::TransactionResult result = rows_.Apply(transaction, absl::UnixEpoch());
     return ReplyOf(result.applied ? store::StoreStatus::kDone : store::StoreStatus::kConflict,
                    result.rows);
   }
 
-  /// Keeps `transaction` on its way; RunDelayed lets it arrive.
+  /// Queues `transaction` until RunDelayed() executes it.
   void Delay(const store::Transaction& transaction) { delayed_.push_back(transaction); }
 
   void RunDelayed() {
--- a/tests/unit/changes/validation_test.cc
+++ b/tests/unit/changes/validation_test.cc
@@ -1,4 +1,4 @@
-// Every fault is found, all at once, each with its place.
+// Validation reports every fault of a configuration together, each with the path of its field.
 #include "core/changes/validation.h"
 
 #include <algorithm>
@@ -13,7 +13,7 @@
 namespace ladderstream::changes {
 namespace {
 
-/// One thing made wrong, and the place where it shall be found.
+/// A modification that makes one field invalid, and the field path that the fault must name.
 struct InvalidField {
   std::string field;
   std::function<void(catalog::Configuration&)> apply;
