--- a/src/core/changes/change.cc
+++ b/src/core/changes/change.cc
@@ -12,9 +12,9 @@
 
 using Faults = std::vector<ConfigurationFault>;
 
-const char* ShardedText(bool sharded) { return sharded ? "true" : "false"; }
+const char* BoolText(bool value) { return value ? "true" : "false"; }
 
-/// Makes each kind of change in a configuration, or adds to the faults.
+/// Applies a change to `configuration` in place; appends to `faults` what prevents it.
 class ChangeVisitor {
  public:
   ChangeVisitor(catalog::Configuration* configuration, Faults* faults)
@@ -25,7 +25,7 @@
   void operator()(const CreateService& change) {
     const std::string& name = change.service.name;
     if (!configuration_.services.emplace(name, change.service).second) {
-      AddTaken(services_, name);
+      AddAlreadyExists(services_, name);
     }
   }
 
@@ -39,8 +39,8 @@
     if (sharded != change.service.sharded) {
       services_.Element(change.service.name)
           .Field("sharded")
-          .AddInvalid(ShardedText(change.service.sharded),
-                      absl::StrCat(ShardedText(sharded), ", fixed at creation"));
+          .AddInvalid(BoolText(change.service.sharded),
+                      absl::StrCat(BoolText(sharded), ", fixed at creation"));
     }
     found->second = change.service;
   }
@@ -54,7 +54,7 @@
     if (route != nullptr) {
       services_.Element(change.name)
           .Add(ResultCode::kStillInUse, absl::StrCat("route ", route->name),
-               "a service to which no route leads");
+               "a service that no route targets");
       return;
     }
     configuration_.services.erase(change.name);
@@ -62,7 +62,7 @@
 
   void operator()(const CreateRoute& change) {
     if (FindRoute(change.route.name) != configuration_.routes.end()) {
-      AddTaken(routes_, change.route.name);
+      AddAlreadyExists(routes_, change.route.name);
       return;
     }
     configuration_.routes.push_back(change.route);
@@ -89,13 +89,14 @@
   void operator()(const UpdateLimits& change) { configuration_.limits = change.limits; }
 
  private:
-  static void AddTaken(const FaultCollector& list, const std::string& name) {
-    list.Element(name).Field("name").Add(ResultCode::kAlreadyExists, name, "a name not yet taken");
+  static void AddAlreadyExists(const FaultCollector& list, const std::string& name) {
+    list.Element(name).Field("name").Add(ResultCode::kAlreadyExists, name,
+                                         "a name that is not in use");
   }
 
   static void AddUnknown(const FaultCollector& list, const std::string& name) {
     list.Element(name).Field("name").Add(ResultCode::kUnknownName, name,
-                                         "a name of the configuration");
+                                         "a name that exists in the configuration");
   }
 
   std::vector<catalog::Route>::iterator FindRoute(const std::string& name) {
