--- a/src/node/catalog_tables.cc
+++ b/src/node/catalog_tables.cc
@@ -27,25 +27,25 @@
       backend_follower_(backend_follower),
       handlers_(std::move(handlers)) {}
 
-void CatalogTables::Take(Time now) {
-  TakeConfiguration(now);
-  TakeBackends(now);
+void CatalogTables::ApplyUpdates(Time now) {
+  UpdateConfiguration(now);
+  UpdateBackends(now);
 }
 
-void CatalogTables::TakeConfiguration(Time now) {
+void CatalogTables::UpdateConfiguration(Time now) {
   const Time changed_after = configuration_follower_->changed_after();
   if (configuration_follower_->TakeChangedKeys().empty()) {
     return;
   }
-  TakeEvacuations(changed_after, now);
+  UpdateEvacuations(changed_after, now);
   if (!ReadConfiguration()) {
     return;
   }
   beliefs_->OnConfiguration(*configuration_, now - changed_after,
                             SourceOf(*configuration_follower_, now));
   handlers_.on_configuration(configuration_);
-  CompleteAll(now);
-  TellBackends(changed_after, now);
+  CompleteRegistrations(now);
+  ReportBackends(changed_after, now);
 }
 
 bool CatalogTables::ReadConfiguration() {
@@ -67,7 +67,7 @@
   return true;
 }
 
-void CatalogTables::TakeEvacuations(Time changed_after, Time now) {
+void CatalogTables::UpdateEvacuations(Time changed_after, Time now) {
   catalog::EvacuatedZones zones;
   for (const auto& [key, row] : configuration_follower_->rows()) {
     if (auto zone = adapter_->EvacuatedZoneOf(key)) {
@@ -80,26 +80,26 @@
   evacuated_zones_ = std::move(zones);
   beliefs_->OnEvacuations(evacuated_zones_, configuration_follower_->as_of(),
                           SourceOf(*configuration_follower_, now));
-  CompleteAll(now);
-  TellBackends(changed_after, now);
+  CompleteRegistrations(now);
+  ReportBackends(changed_after, now);
 }
 
-void CatalogTables::TakeBackends(Time now) {
+void CatalogTables::UpdateBackends(Time now) {
   const Time changed_after = backend_follower_->changed_after();
   const std::vector<std::string> changed = backend_follower_->TakeChangedKeys();
   if (changed.empty()) {
     return;
   }
   for (const std::string& key : changed) {
-    TakeBackend(key, now);
+    UpdateBackend(key, now);
   }
   if (changed_after != absl::InfinitePast()) {
-    backend_news_age_ = now - changed_after;
+    backend_update_age_ = now - changed_after;
   }
-  TellBackends(changed_after, now);
+  ReportBackends(changed_after, now);
 }
 
-void CatalogTables::TakeBackend(const std::string& key, Time now) {
+void CatalogTables::UpdateBackend(const std::string& key, Time now) {
   const auto previous = registrations_.find(key);
   const std::string previous_id = previous == registrations_.end() ? "" : previous->second.id;
   const std::optional<catalog::Backend> registration = DecodeRow(key);
@@ -134,14 +134,14 @@
   }
 }
 
-void CatalogTables::CompleteAll(Time now) {
+void CatalogTables::CompleteRegistrations(Time now) {
   for (const auto& [key, registration] : registrations_) {
     backends_.Set(
         backend_registry_.Complete(registration, evacuated_zones_, configuration_.get(), now));
   }
 }
 
-void CatalogTables::TellBackends(Time changed_after, Time now) {
+void CatalogTables::ReportBackends(Time changed_after, Time now) {
   if (!backend_follower_->known()) {
     return;
   }
--- a/src/node/catalog_tables.h
+++ b/src/node/catalog_tables.h
@@ -38,7 +38,7 @@
                 store::TableFollower* backend_follower, Handlers handlers);
 
   /// Takes what changed in the tables since the last call.
-  void Take(Time now);
+  void ApplyUpdates(Time now);
 
   /// Null before any is known.
   const ConfigurationPtr& configuration() const { return configuration_; }
@@ -48,21 +48,21 @@
   uint64_t decoded_rows() const { return decoded_rows_; }
   /// How old the last change of registrations may have been when it was heard; the first reading
   /// tells none.
-  Duration backend_news_age() const { return backend_news_age_; }
+  Duration backend_update_age() const { return backend_update_age_; }
 
  private:
-  void TakeConfiguration(Time now);
+  void UpdateConfiguration(Time now);
   /// Gives false when no newer configuration could be read.
   bool ReadConfiguration();
-  void TakeEvacuations(Time changed_after, Time now);
-  void TakeBackends(Time now);
-  void TakeBackend(const std::string& key, Time now);
+  void UpdateEvacuations(Time changed_after, Time now);
+  void UpdateBackends(Time now);
+  void UpdateBackend(const std::string& key, Time now);
   /// The registration of a row; none when the row is gone or cannot be read.
   std::optional<catalog::Backend> DecodeRow(const std::string& key);
   /// The configuration or evacuations changed, which may concern any back end.
-  void CompleteAll(Time now);
+  void CompleteRegistrations(Time now);
   /// Tells what changed among the back ends; it changed after `changed_after`.
-  void TellBackends(Time changed_after, Time now);
+  void ReportBackends(Time changed_after, Time now);
 
   const interfaces::PlatformAdapter* const adapter_;
   observability::BeliefLog* const beliefs_;
@@ -77,7 +77,7 @@
   std::map<std::string, catalog::Backend> registrations_;
   catalog::BackendSet backends_;
   uint64_t decoded_rows_ = 0;
-  Duration backend_news_age_;
+  Duration backend_update_age_;
 };
 
 }  // namespace ladderstream::node
--- a/src/node/control_plane.cc
+++ b/src/node/control_plane.cc
@@ -19,14 +19,14 @@
 
 /// Changes of a table within this are told to the coordinator by one call at least; and so many
 /// tables are followed.
-constexpr Duration kShortestBatchPause = absl::Milliseconds(50);
+constexpr Duration kMinCoordinatorBatchPause = absl::Milliseconds(50);
 /// Other nodes hear of changes from the coordinator. When they watch themselves, all may have to at
 /// once, as at the start of a fleet, before any knows how many they are: they leave this much
 /// between two calls for each node they know of, within bounds. The upper one is a third of the
 /// shortest time in which a draining back end must be known to all.
 constexpr Duration kBatchPausePerNode = absl::Milliseconds(10);
-constexpr Duration kLeastOtherBatchPause = absl::Milliseconds(250);
-constexpr Duration kMostOtherBatchPause = absl::Milliseconds(700);
+constexpr Duration kMinFollowerBatchPause = absl::Milliseconds(250);
+constexpr Duration kMaxFollowerBatchPause = absl::Milliseconds(700);
 constexpr uint32_t kFollowedTables = 2;
 /// After its start a node that does not coordinate leaves the watches to the coordinator for so
 /// long: a fleet that starts has one after 1.2 s (seen with 295 nodes), and shorter bounds than 2 s
@@ -34,7 +34,7 @@
 constexpr Duration kFirstWatchPause = absl::Milliseconds(1500);
 
 /// More turns than any chain of events needs; ends a loop that would never settle.
-constexpr int kMostTurns = 64;
+constexpr int kMaxPumpTurns = 64;
 
 /// The result of an order, as a metric's label.
 std::string_view NameOf(ownership::OrderStatus status) {
@@ -146,15 +146,15 @@
       peers_(resources, PeerSettingsOf(settings, incarnation + kPeerSeed),
              {[this](uint64_t connection, membership::Message message) {
                 membership_.OnMessage(connection, std::move(message), Now());
-                PumpSoon();
+                SchedulePump();
               },
               [this](const Endpoint& address, bool refused) {
                 membership_.OnConnectFailed(address, refused, Now());
-                PumpSoon();
+                SchedulePump();
               },
               [this](const Endpoint& address, const std::string&) {
                 membership_.OnConnectionLost(address, Now());
-                PumpSoon();
+                SchedulePump();
               }}),
       configuration_follower_(
           FollowerSettingsOf(adapter_->configuration_table(), incarnation + kConfigurationSeed)),
@@ -164,9 +164,9 @@
                   listener_->OnConfiguration(configuration);
                 },
                 [this](const catalog::BackendChanges& changes,
-                       const forwarding::RegistrationUpdate& news) {
-                  listener_->OnBackends(changes, news);
-                  TellCatalog(changes);
+                       const forwarding::RegistrationUpdate& update) {
+                  listener_->OnBackends(changes, update);
+                  ReportCatalog(changes);
                 }}),
       coordinator_(settings.ownership, CoordinatorIdentityOf(settings, incarnation)),
       membership_(MembershipSettingsOf(settings, incarnation + kMembershipSeed),
@@ -177,21 +177,21 @@
 
 void ControlPlane::Start() {
   peers_.Start();
-  ShareStore();
-  PumpSoon();
+  UpdateStoreShare();
+  SchedulePump();
 }
 
 void ControlPlane::Apply(const gateway::NodeSettings& fresh) {
   membership_.SetSeeds(fresh.membership.seeds);
   store_.SetRates(WritesPerSecond(fresh.store), fresh.store.reads_per_second);
-  ShareStore();
-  PumpSoon();
+  UpdateStoreShare();
+  SchedulePump();
 }
 
 void ControlPlane::Resign() {
   resigned_ = true;
   coordinator_.Resign(Now());
-  PumpSoon();
+  SchedulePump();
 }
 
 bool ControlPlane::HasResigned() const { return resigned_ && !coordinator_.Holds(Now()); }
@@ -200,7 +200,7 @@
   const Time now = Now();
   state->configuration_version = catalog_.configuration() ? catalog_.configuration()->version : 0;
   state->configuration_age = now - configuration_follower_.last_confirmed();
-  state->backend_news_age = catalog_.backend_news_age();
+  state->backend_news_age = catalog_.backend_update_age();
   if (const auto& map = membership_.map()) {
     state->map_epoch = map->version.epoch;
     state->map_sequence = map->version.sequence;
@@ -235,13 +235,13 @@
     membership_.OnStoreUnanswered();
   }
   coordinator_.OnStoreReply(call, reply, Now());
-  PumpSoon();
+  SchedulePump();
 }
 
 void ControlPlane::OnOrderReply(ownership::CallId call, const ownership::OrderReply& reply) {
   metrics_->CountCall("order", NameOf(reply.status));
   coordinator_.OnOrderReply(call, reply, Now());
-  PumpSoon();
+  SchedulePump();
 }
 
 void ControlPlane::OnFollowerReply(store::TableFollower* follower, uint64_t call,
@@ -252,12 +252,12 @@
   } else {
     beliefs_->OnStoreMissed(reply.detail, Now());
   }
-  PumpSoon();
+  SchedulePump();
 }
 
 // The loop.
 
-void ControlPlane::PumpSoon() {
+void ControlPlane::SchedulePump() {
   if (pump_posted_) {
     return;
   }
@@ -281,22 +281,22 @@
   membership_.OnTick(now);
   PollFollower(&configuration_follower_);
   PollFollower(&backend_follower_);
-  catalog_.Take(now);
-  TellOwnLoad();
-  for (int turn = 0; turn < kMostTurns && CarryActions(); ++turn) {
+  catalog_.ApplyUpdates(now);
+  ReportOwnLoad();
+  for (int turn = 0; turn < kMaxPumpTurns && ExecuteActions(); ++turn) {
   }
-  Arm();
+  ArmTimer();
 }
 
-bool ControlPlane::CarryActions() {
+bool ControlPlane::ExecuteActions() {
   bool any = false;
   for (const ownership::Action& action : coordinator_.TakeActions()) {
-    std::visit([this](const auto& one) { Carry(one); }, action);
+    std::visit([this](const auto& one) { Execute(one); }, action);
     any = true;
   }
-  ShareLease();
+  PublishLease();
   for (const membership::MembershipAction& action : membership_.TakeActions()) {
-    std::visit([this](const auto& one) { Carry(one); }, action);
+    std::visit([this](const auto& one) { Execute(one); }, action);
     any = true;
   }
   return any;
@@ -310,7 +310,7 @@
   }
 }
 
-void ControlPlane::TellCatalog(const catalog::BackendChanges& changes) {
+void ControlPlane::ReportCatalog(const catalog::BackendChanges& changes) {
   if (!catalog_.configuration()) {
     return;
   }
@@ -320,7 +320,7 @@
       sharded.push_back(service);
     }
   }
-  if (std::exchange(catalog_told_, true)) {
+  if (std::exchange(catalog_reported_, true)) {
     coordinator_.OnCatalog(sharded, changes, Now());
     return;
   }
@@ -332,7 +332,7 @@
   coordinator_.OnCatalog(sharded, all, Now());
 }
 
-void ControlPlane::TellOwnLoad() {
+void ControlPlane::ReportOwnLoad() {
   const Time now = Now();
   if (!coordinator_.Holds(now)) {
     next_own_load_ = absl::InfinitePast();
@@ -341,34 +341,35 @@
   if (now >= next_own_load_) {
     next_own_load_ = now + kOwnLoadInterval;
     coordinator_.SetRateLimits(listener_->LimitsInForce(), now);
-    TellCoordinator(ToReports(listener_->TakeLoad(), catalog_.configuration().get()), now,
-                    &coordinator_);
+    ReportToCoordinator(ToReports(listener_->TakeLoad(), catalog_.configuration().get()), now,
+                        &coordinator_);
   }
 }
 
-void ControlPlane::ShareStore() {
+void ControlPlane::UpdateStoreShare() {
   const uint32_t nodes = std::max<uint32_t>(1, membership_.members().size());
   store_.SetShare(nodes, holds_lease_);
-  const Duration least = holds_lease_ ? kShortestBatchPause
-                                      : std::clamp(nodes * kBatchPausePerNode,
-                                                   kLeastOtherBatchPause, kMostOtherBatchPause);
-  const Duration pause = std::max(least, store_.PauseBetweenReads(kFollowedTables));
+  const Duration min_pause =
+      holds_lease_
+          ? kMinCoordinatorBatchPause
+          : std::clamp(nodes * kBatchPausePerNode, kMinFollowerBatchPause, kMaxFollowerBatchPause);
+  const Duration pause = std::max(min_pause, store_.PauseBetweenReads(kFollowedTables));
   configuration_follower_.SetBatchPause(pause);
   backend_follower_.SetBatchPause(pause);
 }
 
-void ControlPlane::ShareLease() {
+void ControlPlane::PublishLease() {
   const Time now = Now();
   const bool holds = coordinator_.Holds(now);
   if (holds && !holds_lease_) {
     membership_.OnMap(coordinator_.Map(), now);
   }
-  if (holds && shared_lease_until_ != coordinator_.LeaseUntil()) {
-    shared_lease_until_ = coordinator_.LeaseUntil();
-    membership_.OnLeaseHeld(coordinator_.View(), shared_lease_until_, now);
+  if (holds && published_lease_until_ != coordinator_.LeaseUntil()) {
+    published_lease_until_ = coordinator_.LeaseUntil();
+    membership_.OnLeaseHeld(coordinator_.View(), published_lease_until_, now);
   }
   if (!holds && holds_lease_) {
-    shared_lease_until_ = absl::InfinitePast();
+    published_lease_until_ = absl::InfinitePast();
     if (resigned_) {
       membership_.OnResigned(now);
     } else {
@@ -377,7 +378,7 @@
   }
   if (holds != holds_lease_) {
     holds_lease_ = holds;
-    ShareStore();
+    UpdateStoreShare();
   }
   const auto& holder = coordinator_.KnownHolder();
   if (holder && holder->incarnation != known_holder_) {
@@ -386,7 +387,7 @@
   }
 }
 
-void ControlPlane::Arm() {
+void ControlPlane::ArmTimer() {
   Time wake = std::min(coordinator_.NextWake(), membership_.NextWake());
   wake = std::min(wake, configuration_follower_.NextWake());
   wake = std::min(wake, backend_follower_.NextWake());
--- a/src/node/control_plane.h
+++ b/src/node/control_plane.h
@@ -36,7 +36,7 @@
 
   virtual void OnConfiguration(std::shared_ptr<const catalog::Configuration> configuration) = 0;
   virtual void OnBackends(const catalog::BackendChanges& changes,
-                          const forwarding::RegistrationUpdate& news) = 0;
+                          const forwarding::RegistrationUpdate& update) = 0;
   virtual void OnOwnership(std::shared_ptr<const ownership::OwnershipMap> map) = 0;
   virtual void OnMapConfirmed(Time until) = 0;
   /// All nodes that take part, this one included, by incarnation.
@@ -70,11 +70,11 @@
   void Apply(const gateway::NodeSettings& fresh);
   /// What this node knows of requests that crash back ends, for the others; see
   /// membership::Membership::OnSuspects.
-  void TellSuspects(std::vector<quarantine::SuspectRecord> suspects, bool own);
+  void PublishSuspects(std::vector<quarantine::SuspectRecord> suspects, bool own);
   /// Limits of back ends that changed lately; see membership::Membership::OnLimits.
-  void TellLimits(std::vector<allowance::LimitRecord> own_limits,
-                  std::vector<allowance::LimitRecord> all, bool own);
-  void AskPermits(const std::vector<allowance::PermitQuestion>& questions);
+  void PublishLimits(std::vector<allowance::LimitRecord> own_limits,
+                     std::vector<allowance::LimitRecord> all, bool own);
+  void RequestPermits(const std::vector<allowance::PermitQuestion>& questions);
   /// A planned stop: gives the lease up, if this node holds it.
   void Resign();
   /// Whether the lease, if this node held it, has been given up.
@@ -94,42 +94,44 @@
                        const store::StoreReply& reply);
 
   // Actions of the coordinator.
-  void Carry(const ownership::CommitAction& commit);
-  void Carry(const ownership::ReadAction& read);
-  void Carry(const ownership::GrantAction& grant) { orders_.Send(grant); }
-  void Carry(const ownership::ReleaseAction& release) { orders_.Send(release); }
-  void Carry(const ownership::PublishAction& publish);
-  void Carry(const ownership::StateChangeAction& belief) { beliefs_->OnCoordinatorBelief(belief); }
+  void Execute(const ownership::CommitAction& commit);
+  void Execute(const ownership::ReadAction& read);
+  void Execute(const ownership::GrantAction& grant) { orders_.Send(grant); }
+  void Execute(const ownership::ReleaseAction& release) { orders_.Send(release); }
+  void Execute(const ownership::PublishAction& publish);
+  void Execute(const ownership::StateChangeAction& change) {
+    beliefs_->OnCoordinatorBelief(change);
+  }
 
   // Actions of the membership.
-  void Carry(const membership::SendAction& send);
-  void Carry(const membership::ReportDueAction& due);
-  void Carry(const membership::HeartbeatReceivedAction& heard);
-  void Carry(const membership::CoordinatorEndedAction& ended);
-  void Carry(const membership::MapChangedAction& changed);
-  void Carry(const membership::MapConfirmedAction& confirmed);
-  void Carry(const membership::MembersChangedAction& changed);
-  void Carry(const membership::MembersConfirmedAction& confirmed);
-  void Carry(const membership::ReportReceivedAction& report);
-  void Carry(const membership::SuspectsReceivedAction& heard);
-  void Carry(const membership::LimitsReceivedAction& heard);
-  void Carry(const membership::PermitRequestedAction& asked);
-  void Carry(const membership::PermitAnsweredAction& answered);
-  void Carry(const membership::TablesMergedAction& merged);
+  void Execute(const membership::SendAction& send);
+  void Execute(const membership::ReportDueAction& due);
+  void Execute(const membership::HeartbeatReceivedAction& received);
+  void Execute(const membership::CoordinatorEndedAction& ended);
+  void Execute(const membership::MapChangedAction& changed);
+  void Execute(const membership::MapConfirmedAction& confirmed);
+  void Execute(const membership::MembersChangedAction& changed);
+  void Execute(const membership::MembersConfirmedAction& confirmed);
+  void Execute(const membership::ReportReceivedAction& report);
+  void Execute(const membership::SuspectsReceivedAction& received);
+  void Execute(const membership::LimitsReceivedAction& received);
+  void Execute(const membership::PermitRequestedAction& request);
+  void Execute(const membership::PermitAnsweredAction& answered);
+  void Execute(const membership::TablesMergedAction& merged);
 
   /// Runs everything that is due until nothing is left to do, then sets the timer.
   void Pump();
   /// Pumps after the present event, once however often it is asked for.
-  void PumpSoon();
+  void SchedulePump();
   void PollFollower(store::TableFollower* follower);
   /// Tells the coordinator, once there is a configuration.
-  void TellCatalog(const catalog::BackendChanges& changes);
-  void TellOwnLoad();
-  void ShareLease();
+  void ReportCatalog(const catalog::BackendChanges& changes);
+  void ReportOwnLoad();
+  void PublishLease();
   /// Fits this node's calls into its share of what the store takes.
-  void ShareStore();
-  bool CarryActions();
-  void Arm();
+  void UpdateStoreShare();
+  bool ExecuteActions();
+  void ArmTimer();
   Time Now() const { return resources_->clock.Now(); }
 
   gateway::LoopResources* const resources_;
@@ -149,13 +151,13 @@
   store::TableFollower backend_follower_;
   CatalogTables catalog_;
   /// The coordinator knows all back ends but those that changed since.
-  bool catalog_told_ = false;
+  bool catalog_reported_ = false;
   ownership::Coordinator coordinator_;
   membership::Membership membership_;
 
   /// What membership was last told of this node's lease.
-  ownership::LeaseView shared_lease_;
-  Time shared_lease_until_ = absl::InfinitePast();
+  ownership::LeaseView published_lease_;
+  Time published_lease_until_ = absl::InfinitePast();
   bool holds_lease_ = false;
   uint64_t known_holder_ = 0;
   Time next_own_load_ = absl::InfinitePast();
--- a/src/node/control_plane_actions.cc
+++ b/src/node/control_plane_actions.cc
@@ -10,53 +10,55 @@
 
 // Actions of the coordinator.
 
-void ControlPlane::Carry(const ownership::CommitAction& commit) {
+void ControlPlane::Execute(const ownership::CommitAction& commit) {
   store_.Execute(commit.transaction, settings_.ownership.store_timeout,
                  [this, call = commit.call, sent = Now()](const store::StoreReply& reply) {
                    OnStoreReply(call, sent, reply);
                  });
 }
 
-void ControlPlane::Carry(const ownership::ReadAction& read) {
+void ControlPlane::Execute(const ownership::ReadAction& read) {
   store_.Read(read.query, settings_.ownership.store_timeout,
               [this, call = read.call, sent = Now()](const store::StoreReply& reply) {
                 OnStoreReply(call, sent, reply);
               });
 }
 
-void ControlPlane::Carry(const ownership::PublishAction& publish) {
+void ControlPlane::Execute(const ownership::PublishAction& publish) {
   membership_.OnMap(publish.map, Now());
 }
 
 // Actions of the membership.
 
-void ControlPlane::Carry(const membership::SendAction& send) { peers_.Send(send.to, send.message); }
+void ControlPlane::Execute(const membership::SendAction& send) {
+  peers_.Send(send.to, send.message);
+}
 
-void ControlPlane::Carry(const membership::ReportDueAction&) {
+void ControlPlane::Execute(const membership::ReportDueAction&) {
   membership_.SendReport(ToReports(listener_->TakeLoad(), catalog_.configuration().get()), {},
                          Now());
 }
 
-void ControlPlane::Carry(const membership::HeartbeatReceivedAction& heard) {
-  coordinator_.OnHeartbeat(heard.lease, Now());
+void ControlPlane::Execute(const membership::HeartbeatReceivedAction& received) {
+  coordinator_.OnHeartbeat(received.lease, Now());
 }
 
-void ControlPlane::Carry(const membership::CoordinatorEndedAction& ended) {
+void ControlPlane::Execute(const membership::CoordinatorEndedAction& ended) {
   coordinator_.OnCoordinatorEnded(ended.incarnation, Now());
 }
 
-void ControlPlane::Carry(const membership::MapChangedAction& changed) {
+void ControlPlane::Execute(const membership::MapChangedAction& changed) {
   beliefs_->OnMap(*changed.map, absl::ZeroDuration(), holds_lease_ ? "own" : "coordinator");
   listener_->OnOwnership(changed.map);
 }
 
-void ControlPlane::Carry(const membership::MapConfirmedAction& confirmed) {
+void ControlPlane::Execute(const membership::MapConfirmedAction& confirmed) {
   beliefs_->OnMapConfirmed(Now());
   listener_->OnMapConfirmed(confirmed.until);
 }
 
-void ControlPlane::Carry(const membership::MembersChangedAction& changed) {
-  ShareStore();
+void ControlPlane::Execute(const membership::MembersChangedAction& changed) {
+  UpdateStoreShare();
   std::vector<uint64_t> members;
   members.reserve(changed.count);
   for (const membership::PeerIdentity& member : membership_.members()) {
@@ -65,48 +67,48 @@
   listener_->OnMembers(members);
 }
 
-void ControlPlane::Carry(const membership::MembersConfirmedAction& confirmed) {
+void ControlPlane::Execute(const membership::MembersConfirmedAction& confirmed) {
   listener_->OnMembersConfirmed(confirmed.until);
 }
 
-void ControlPlane::Carry(const membership::SuspectsReceivedAction& heard) {
-  listener_->OnSuspects(heard.suspects);
+void ControlPlane::Execute(const membership::SuspectsReceivedAction& received) {
+  listener_->OnSuspects(received.suspects);
 }
 
-void ControlPlane::TellSuspects(std::vector<quarantine::SuspectRecord> suspects, bool own) {
+void ControlPlane::PublishSuspects(std::vector<quarantine::SuspectRecord> suspects, bool own) {
   membership_.OnSuspects(std::move(suspects), own, Now());
-  PumpSoon();
+  SchedulePump();
 }
 
-void ControlPlane::Carry(const membership::LimitsReceivedAction& heard) {
-  listener_->OnLimits(heard.limits);
+void ControlPlane::Execute(const membership::LimitsReceivedAction& received) {
+  listener_->OnLimits(received.limits);
 }
 
-void ControlPlane::Carry(const membership::PermitRequestedAction& asked) {
-  membership_.SendPermitAnswer(asked.from, listener_->OnPermitQuestion(asked.question));
+void ControlPlane::Execute(const membership::PermitRequestedAction& request) {
+  membership_.SendPermitAnswer(request.from, listener_->OnPermitQuestion(request.question));
 }
 
-void ControlPlane::Carry(const membership::PermitAnsweredAction& answered) {
+void ControlPlane::Execute(const membership::PermitAnsweredAction& answered) {
   listener_->OnPermitReply(answered.reply);
 }
 
-void ControlPlane::TellLimits(std::vector<allowance::LimitRecord> own_limits,
-                              std::vector<allowance::LimitRecord> all, bool own) {
+void ControlPlane::PublishLimits(std::vector<allowance::LimitRecord> own_limits,
+                                 std::vector<allowance::LimitRecord> all, bool own) {
   membership_.OnLimits(std::move(own_limits), std::move(all), own, Now());
-  PumpSoon();
+  SchedulePump();
 }
 
-void ControlPlane::AskPermits(const std::vector<allowance::PermitQuestion>& questions) {
+void ControlPlane::RequestPermits(const std::vector<allowance::PermitQuestion>& questions) {
   for (const allowance::PermitQuestion& question : questions) {
     membership_.SendPermitRequest(question);
   }
-  PumpSoon();
+  SchedulePump();
 }
 
-void ControlPlane::Carry(const membership::ReportReceivedAction& report) {
-  TellCoordinator(report.loads, Now(), &coordinator_);
+void ControlPlane::Execute(const membership::ReportReceivedAction& report) {
+  ReportToCoordinator(report.loads, Now(), &coordinator_);
 }
 
-void ControlPlane::Carry(const membership::TablesMergedAction&) {}
+void ControlPlane::Execute(const membership::TablesMergedAction&) {}
 
 }  // namespace ladderstream::node
--- a/src/node/load_exchange.cc
+++ b/src/node/load_exchange.cc
@@ -75,8 +75,8 @@
   return reports;
 }
 
-void TellCoordinator(const std::vector<membership::LoadReport>& reports, Time now,
-                     ownership::Coordinator* coordinator) {
+void ReportToCoordinator(const std::vector<membership::LoadReport>& reports, Time now,
+                         ownership::Coordinator* coordinator) {
   for (const membership::LoadReport& report : reports) {
     coordinator->OnLoad(report.service, CountsOf(report), SamplesOf(report), now);
     const size_t declined = std::min(report.declined_by.size(), report.backoff_ms.size());
--- a/src/node/load_exchange.h
+++ b/src/node/load_exchange.h
@@ -17,7 +17,7 @@
                                               const catalog::Configuration* configuration);
 
 /// Tells `coordinator` what a node counted. Entries of unequal length are cut to the shortest.
-void TellCoordinator(const std::vector<membership::LoadReport>& reports, Time now,
-                     ownership::Coordinator* coordinator);
+void ReportToCoordinator(const std::vector<membership::LoadReport>& reports, Time now,
+                         ownership::Coordinator* coordinator);
 
 }  // namespace ladderstream::node
--- a/src/node/main.cc
+++ b/src/node/main.cc
@@ -24,7 +24,7 @@
 namespace ladderstream::node {
 namespace {
 
-enum ExitCode : int { kStopped = 0, kCannotStart = 1, kSettingsAtFault = 2, kStopTimedOut = 3 };
+enum ExitCode : int { kStopped = 0, kCannotStart = 1, kInvalidSettings = 2, kStopTimedOut = 3 };
 
 std::string SettingsPath() {
   if (!FLAGS_settings_from.empty()) {
@@ -54,7 +54,7 @@
     return Run();
   } catch (const settings::SettingsError& error) {
     std::cerr << error.what() << '\n';
-    return kSettingsAtFault;
+    return kInvalidSettings;
   } catch (const std::exception& error) {
     std::cerr << "ladderstream_node: " << error.what() << '\n';
     return kCannotStart;
--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -17,18 +17,18 @@
 
 /// How long a stopping node goes on taking connections at least: the platform needs two unanswered
 /// readiness questions, a second apart, to send callers elsewhere.
-constexpr Duration kCallersLeave = absl::Milliseconds(2600);
+constexpr Duration kMinDrainTime = absl::Milliseconds(2600);
 
 /// Left of the grace time for the last lines of the log and the end of the process.
 constexpr Duration kStopMargin = absl::Milliseconds(400);
 
 /// After this share of the grace time, requests that might outlast it are refused.
-constexpr double kLastStartShare = 0.5;
+constexpr double kLongRequestCutoffShare = 0.5;
 
 constexpr Duration kHousekeepingInterval = absl::Seconds(1);
 /// How many turns of the housekeeping lie between two lines that tell the calls to the store.
-constexpr uint64_t kTurnsBetweenStoreCalls = 5;
-constexpr Duration kLastFlush = absl::Milliseconds(50);
+constexpr uint64_t kHousekeepingTurnsPerStoreCallsLine = 5;
+constexpr Duration kFinalFlushTimeout = absl::Milliseconds(50);
 
 /// The share of the machine's memory that bodies may take.
 constexpr double kBodyMemoryShare = 0.3;
@@ -63,7 +63,7 @@
 }
 
 /// The settings' check lets only names of severities pass.
-void KeepLogLevel(std::string_view name) {
+void SetLogLevel(std::string_view name) {
   Severity lowest = Severity::kInfo;
   ParseSeverity(name, &lowest);
   SetUpLogging(lowest);
@@ -91,8 +91,8 @@
       signals_(loop_, SIGTERM, SIGINT, SIGHUP),
       housekeeping_(loop_),
       stop_timer_(loop_) {
-  data_path_.SetSuspectNews([this] { TellSuspects(/*own=*/true); });
-  data_path_.SetPumped([this] { FollowLimits(); });
+  data_path_.SetSuspectNews([this] { PublishSuspects(/*own=*/true); });
+  data_path_.SetPumped([this] { SyncLimits(); });
   readiness_ = std::make_unique<gateway::ReadinessServer>(
       loop_, settings.listen.readiness, adapter_->ready_path(), [this] { return IsReady(); });
   if (settings.listen.metrics) {
@@ -118,13 +118,13 @@
 }
 
 bool Node::Run() {
-  KeepLogLevel(settings_.log_level);
+  SetLogLevel(settings_.log_level);
   beliefs_.OnStarted(kProgramVersion, settings_.listen.callers, settings_.zone);
   WaitForSignal();
   control_plane_.Start();
   OnHousekeeping();
   loop_.run();
-  log_output_.FlushWithin(kLastFlush);
+  log_output_.FlushWithin(kFinalFlushTimeout);
   return !stop_timed_out_;
 }
 
@@ -134,8 +134,8 @@
 }
 
 void Node::OnBackends(const catalog::BackendChanges& changes,
-                      const forwarding::RegistrationUpdate& news) {
-  data_path_.ChangeBackends(changes, news);
+                      const forwarding::RegistrationUpdate& update) {
+  data_path_.ChangeBackends(changes, update);
   LogBeliefs();
 }
 
@@ -156,18 +156,18 @@
 
 void Node::OnSuspects(const std::vector<quarantine::SuspectRecord>& suspects) {
   if (dispatcher_.suspects().Merge(suspects, Now())) {
-    TellSuspects(/*own=*/false);
+    PublishSuspects(/*own=*/false);
   }
 }
 
-void Node::TellSuspects(bool own) {
-  control_plane_.TellSuspects(dispatcher_.suspects().Shared(Now()), own);
+void Node::PublishSuspects(bool own) {
+  control_plane_.PublishSuspects(dispatcher_.suspects().Shared(Now()), own);
   LogBeliefs();
 }
 
 void Node::OnLimits(const std::vector<allowance::LimitRecord>& limits) {
   if (dispatcher_.OnLimitsReceived(limits, Now())) {
-    TellLimits(/*own=*/false);
+    PublishLimits(/*own=*/false);
     data_path_.Pump();
   }
 }
@@ -189,20 +189,20 @@
   data_path_.Pump();
 }
 
-void Node::FollowLimits() {
+void Node::SyncLimits() {
   if (dispatcher_.TakeLimitsChanged()) {
-    TellLimits(/*own=*/true);
+    PublishLimits(/*own=*/true);
   }
   const std::vector<allowance::PermitQuestion> questions = dispatcher_.TakePermitQuestions();
   if (!questions.empty()) {
-    control_plane_.AskPermits(questions);
+    control_plane_.RequestPermits(questions);
   }
 }
 
-void Node::TellLimits(bool own) {
+void Node::PublishLimits(bool own) {
   const allowance::ToldLimits& limits = dispatcher_.rates().limits();
-  control_plane_.TellLimits(limits.Changed(/*own_only=*/true, Now()),
-                            limits.Changed(/*own_only=*/false, Now()), own);
+  control_plane_.PublishLimits(limits.Changed(/*own_only=*/true, Now()),
+                               limits.Changed(/*own_only=*/false, Now()), own);
   LogBeliefs();
 }
 
@@ -257,7 +257,7 @@
   dispatcher_.ExpireLimits(Now());
   LogBeliefs();
   log_.OnTick(Now());
-  if (++housekeeping_turns_ % kTurnsBetweenStoreCalls == 0) {
+  if (++housekeeping_turns_ % kHousekeepingTurnsPerStoreCallsLine == 0) {
     beliefs_.OnStoreCalls(control_plane_.StoreCalls());
   }
   if (file_->HasChanged()) {
@@ -300,7 +300,7 @@
 }
 
 void Node::Apply(const gateway::NodeSettings& fresh) {
-  KeepLogLevel(fresh.log_level);
+  SetLogLevel(fresh.log_level);
   settings_.bounds.stop_grace = fresh.bounds.stop_grace;
   dispatcher_.SetRetryBudget(fresh.bounds.retry_budget_ratio, fresh.bounds.retry_budget_slack,
                              fresh.bounds.retry_budget_window);
@@ -324,7 +324,8 @@
   IsReady();
   control_plane_.Resign();
   dispatcher_.SetStopping();
-  dispatcher_.SetEnd(stop_began_ + kLastStartShare * settings_.bounds.stop_grace, StopBy());
+  dispatcher_.SetEnd(stop_began_ + kLongRequestCutoffShare * settings_.bounds.stop_grace,
+                     StopDeadline());
   data_path_.BeginDrain([this] {
     drained_ = true;
     TryStop();
@@ -332,22 +333,22 @@
   TryStop();
 }
 
-Time Node::StopBy() const { return stop_began_ + settings_.bounds.stop_grace - kStopMargin; }
+Time Node::StopDeadline() const { return stop_began_ + settings_.bounds.stop_grace - kStopMargin; }
 
 void Node::TryStop() {
   const Time now = Now();
-  const Time give_up = StopBy();
-  if (now >= give_up) {
+  const Time deadline = StopDeadline();
+  if (now >= deadline) {
     EndStop(data_path_.requests_in_flight() > 0);
     return;
   }
-  const Time callers_left = std::min(stop_began_ + kCallersLeave, give_up);
-  if (now >= callers_left && data_path_.requests_in_flight() == 0) {
+  const Time min_drain_end = std::min(stop_began_ + kMinDrainTime, deadline);
+  if (now >= min_drain_end && data_path_.requests_in_flight() == 0) {
     EndStop(false);
     return;
   }
   const Time next =
-      now < callers_left ? callers_left : std::min(now + absl::Milliseconds(50), give_up);
+      now < min_drain_end ? min_drain_end : std::min(now + absl::Milliseconds(50), deadline);
   stop_timer_.expires_after(absl::ToChronoNanoseconds(next - now));
   stop_timer_.async_wait([this](const gateway::ErrorCode& error) {
     if (!error) {
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -39,7 +39,7 @@
   // ControlPlaneListener
   void OnConfiguration(std::shared_ptr<const catalog::Configuration> configuration) override;
   void OnBackends(const catalog::BackendChanges& changes,
-                  const forwarding::RegistrationUpdate& news) override;
+                  const forwarding::RegistrationUpdate& update) override;
   void OnOwnership(std::shared_ptr<const ownership::OwnershipMap> map) override;
   void OnMapConfirmed(Time until) override;
   void OnMembers(const std::vector<uint64_t>& members) override;
@@ -62,17 +62,17 @@
   void BeginStop(std::string_view cause);
   /// Ends the event loop once callers have gone elsewhere and nothing is left to answer.
   /// When the process ends at the latest.
-  Time StopBy() const;
+  Time StopDeadline() const;
   void TryStop();
   void EndStop(bool timed_out);
   bool IsReady();
   /// Once a second: what changed without an event.
   void OnHousekeeping();
   /// Tells the other nodes what is known here of requests that crash back ends.
-  void TellSuspects(bool own);
+  void PublishSuspects(bool own);
   /// Takes to other nodes what the dispatcher learned of limits, and asks for permits.
-  void FollowLimits();
-  void TellLimits(bool own);
+  void SyncLimits();
+  void PublishLimits(bool own);
   void LogBeliefs();
   std::string MetricsText();
   Time Now() const { return clock_.Now(); }
--- a/tests/unit/node/catalog_tables_test.cc
+++ b/tests/unit/node/catalog_tables_test.cc
@@ -24,7 +24,7 @@
       rows.push_back(RowOf(i, "ready", 1, 1));
     }
     backend_follower.Merge(rows, 1, now, now);
-    tables.Take(now);
+    tables.ApplyUpdates(now);
   }
   store::Row RowOf(size_t number, const std::string& state, size_t sequence,
                    store::RowVersion version) const {
@@ -34,16 +34,16 @@
             false};
   }
   /// Gives how many registrations were decoded.
-  uint64_t Change(const store::Row& row) {
+  uint64_t ApplyChange(const store::Row& row) {
     const uint64_t before = tables.decoded_rows();
-    told = {};
+    reported = {};
     store::TableChanges changes;
     changes.base = row.version - 1;
     changes.version = row.version;
     changes.newest_change = row.version;
     changes.rows = {row};
     backend_follower.Apply(changes, now);
-    tables.Take(now);
+    tables.ApplyUpdates(now);
     return tables.decoded_rows() - before;
   }
 
@@ -56,7 +56,7 @@
       {.table = std::string(adapter->configuration_table()), .partition = ""}};
   store::TableFollower backend_follower{
       {.table = std::string(adapter->backend_table()), .partition = ""}};
-  catalog::BackendChanges told;
+  catalog::BackendChanges reported;
   CatalogTables tables{
       adapter.get(),
       &beliefs,
@@ -64,52 +64,52 @@
       &backend_follower,
       {[](const ConfigurationPtr& /*configuration*/) {},
        [this](const catalog::BackendChanges& changes,
-              const forwarding::RegistrationUpdate& /*news*/) { told = changes; }}};
+              const forwarding::RegistrationUpdate& /*update*/) { reported = changes; }}};
 };
 
 BOOST_FIXTURE_TEST_SUITE(catalog_tables, Tables)
 
 BOOST_AUTO_TEST_CASE(a_start_decodes_each_registration_once) {
   BOOST_TEST(tables.decoded_rows() == kBackends);
-  BOOST_TEST(told.set.size() == kBackends);
+  BOOST_TEST(reported.set.size() == kBackends);
 }
 
-BOOST_AUTO_TEST_CASE(one_changed_registration_decodes_and_tells_one) {
-  BOOST_TEST(Change(RowOf(7, "draining", 2, 2)) == 1U);
-  BOOST_REQUIRE(told.set.size() == 1U);
-  BOOST_TEST(told.set.front().draining);
-  BOOST_TEST(told.gone.empty());
+BOOST_AUTO_TEST_CASE(one_changed_registration_decodes_and_reports_one) {
+  BOOST_TEST(ApplyChange(RowOf(7, "draining", 2, 2)) == 1U);
+  BOOST_REQUIRE(reported.set.size() == 1U);
+  BOOST_TEST(reported.set.front().draining);
+  BOOST_TEST(reported.gone.empty());
 }
 
-BOOST_AUTO_TEST_CASE(a_heartbeat_that_changes_nothing_else_tells_nothing) {
-  BOOST_TEST(Change(RowOf(7, "ready", 2, 2)) == 1U);
-  BOOST_TEST(told.Empty());
+BOOST_AUTO_TEST_CASE(a_heartbeat_without_other_changes_reports_nothing) {
+  BOOST_TEST(ApplyChange(RowOf(7, "ready", 2, 2)) == 1U);
+  BOOST_TEST(reported.Empty());
 }
 
-BOOST_AUTO_TEST_CASE(a_back_end_that_starts_again_replaces_its_earlier_incarnation) {
+BOOST_AUTO_TEST_CASE(a_restarted_back_end_replaces_its_earlier_incarnation) {
   store::Row row = RowOf(7, "ready", 1, 2);
   row.value = platform::RegistrationRow(1007, "ready", 1, 2);
-  Change(row);
-  BOOST_REQUIRE(told.set.size() == 1U);
-  BOOST_REQUIRE(told.gone.size() == 1U);
-  BOOST_TEST(told.set.front().id != told.gone.front());
+  ApplyChange(row);
+  BOOST_REQUIRE(reported.set.size() == 1U);
+  BOOST_REQUIRE(reported.gone.size() == 1U);
+  BOOST_TEST(reported.set.front().id != reported.gone.front());
   BOOST_TEST(tables.backends().all().size() == kBackends);
 }
 
-BOOST_AUTO_TEST_CASE(a_registration_that_turns_unreadable_is_gone_and_others_stay) {
+BOOST_AUTO_TEST_CASE(an_unreadable_registration_removes_only_its_back_end) {
   store::Row row = RowOf(7, "ready", 2, 2);
   row.value = "no registration";
-  Change(row);
-  BOOST_TEST(told.set.empty());
-  BOOST_TEST(told.gone.size() == 1U);
+  ApplyChange(row);
+  BOOST_TEST(reported.set.empty());
+  BOOST_TEST(reported.gone.size() == 1U);
   BOOST_TEST(tables.backends().all().size() == kBackends - 1);
 }
 
-BOOST_AUTO_TEST_CASE(a_removed_registration_is_told_alone) {
+BOOST_AUTO_TEST_CASE(a_removed_registration_reports_only_its_back_end) {
   store::Row row = RowOf(7, "ready", 2, 2);
   row.removed = true;
-  BOOST_TEST(Change(row) == 0U);
-  BOOST_TEST(told.gone.size() == 1U);
+  BOOST_TEST(ApplyChange(row) == 0U);
+  BOOST_TEST(reported.gone.size() == 1U);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
