--- a/src/node/catalog_tables.cc
+++ b/src/node/catalog_tables.cc
@@ -10,7 +10,7 @@
 namespace ladderstream::node {
 namespace {
 
-/// Where a copy's newest rows come from, for logs.
+/// Returns the source of a copy's newest rows, for logs.
 const char* SourceOf(const store::TableFollower& follower, Time now) {
   return follower.Suspended(now) ? "coordinator" : "store";
 }
@@ -110,7 +110,7 @@
   } else {
     registrations_.erase(key);
   }
-  // The row may tell of another incarnation now.
+  // The row may hold another incarnation now.
   if (!previous_id.empty() && (!registration || registration->id != previous_id)) {
     backend_registry_.Forget(previous_id);
     backends_.Remove(previous_id);
--- a/src/node/catalog_tables.h
+++ b/src/node/catalog_tables.h
@@ -1,5 +1,5 @@
-// Reads the two tables that are followed into the configuration and the back ends in force, and
-// tells of each change with how old it may be. One thread; makes no call.
+// Decodes the rows of the two followed tables into the current configuration and back ends, and
+// reports each change with its maximum age. Single-threaded; makes no network calls.
 #pragma once
 
 #include <cstdint>
@@ -24,44 +24,47 @@
 
 class CatalogTables {
  public:
-  /// Who hears of changes.
+  /// Callbacks for changes.
   struct Handlers {
     std::function<void(const ConfigurationPtr&)> on_configuration;
-    /// Also called with no changes, when what the configuration says of their services may have.
+    /// Also called with empty changes, when the configuration of the back ends' services may have
+    /// changed.
     std::function<void(const catalog::BackendChanges&, const forwarding::RegistrationUpdate&)>
         on_backends;
   };
 
-  /// Everything handed in outlives this; the followers are of the adapter's two tables.
+  /// All arguments must outlive this object. The followers follow the adapter's configuration and
+  /// back-end tables.
   CatalogTables(const interfaces::PlatformAdapter* adapter, observability::BeliefLog* beliefs,
                 store::TableFollower* configuration_follower,
                 store::TableFollower* backend_follower, Handlers handlers);
 
-  /// Takes what changed in the tables since the last call.
+  /// Applies the changes of the tables since the last call.
   void ApplyUpdates(Time now);
 
-  /// Null before any is known.
+  /// Null until a configuration is known.
   const ConfigurationPtr& configuration() const { return configuration_; }
-  /// Every registered back end, with what the configuration and evacuations say of it.
+  /// All registered back ends, completed from the configuration and the evacuated zones.
   const catalog::BackendSet& backends() const { return backends_; }
-  /// Registrations decoded since the start.
+  /// Number of registration rows decoded since the start.
   uint64_t decoded_rows() const { return decoded_rows_; }
-  /// How old the last change of registrations may have been when it was heard; the first reading
-  /// tells none.
+  /// Maximum age of the last change of registrations when it was received. The first read of the
+  /// table sets none.
   Duration backend_update_age() const { return backend_update_age_; }
 
  private:
   void UpdateConfiguration(Time now);
-  /// Gives false when no newer configuration could be read.
+  /// Returns false if the table holds no newer configuration that can be decoded.
   bool ReadConfiguration();
   void UpdateEvacuations(Time changed_after, Time now);
   void UpdateBackends(Time now);
   void UpdateBackend(const std::string& key, Time now);
-  /// The registration of a row; none when the row is gone or cannot be read.
+  /// Returns the registration in a row, or nullopt if the row was removed or cannot be decoded.
   std::optional<catalog::Backend> DecodeRow(const std::string& key);
-  /// The configuration or evacuations changed, which may concern any back end.
+  /// Completes all registrations again: a change of the configuration or of the evacuated zones may
+  /// affect any back end.
   void CompleteRegistrations(Time now);
-  /// Tells what changed among the back ends; it changed after `changed_after`.
+  /// Reports the changed back ends. The changes were made after `changed_after`.
   void ReportBackends(Time changed_after, Time now);
 
   const interfaces::PlatformAdapter* const adapter_;
@@ -73,7 +76,7 @@
   ConfigurationPtr configuration_;
   catalog::EvacuatedZones evacuated_zones_;
   catalog::BackendRegistry backend_registry_;
-  /// As decoded from the registrations, by the keys of their rows, and as completed.
+  /// Registrations as decoded, by row key; `backends_` holds them as completed.
   std::map<std::string, catalog::Backend> registrations_;
   catalog::BackendSet backends_;
   uint64_t decoded_rows_ = 0;
--- a/src/node/control_plane.cc
+++ b/src/node/control_plane.cc
@@ -11,32 +11,31 @@
 namespace ladderstream::node {
 namespace {
 
-/// How often the coordinator takes what its own data path counted.
+/// Interval at which the coordinator reads the load of its own data path.
 constexpr Duration kOwnLoadInterval = absl::Milliseconds(300);
 
-/// A release is answered when the work on its keys has ended.
+/// A back end answers a release only after the work on its keys has ended.
 constexpr Duration kReleaseTimeout = absl::Seconds(3);
 
-/// Changes of a table within this are told to the coordinator by one call at least; and so many
-/// tables are followed.
+/// The coordinator's minimum batch pause: changes of a table within it are batched into one call.
 constexpr Duration kMinCoordinatorBatchPause = absl::Milliseconds(50);
-/// Other nodes hear of changes from the coordinator. When they watch themselves, all may have to at
-/// once, as at the start of a fleet, before any knows how many they are: they leave this much
-/// between two calls for each node they know of, within bounds. The upper one is a third of the
-/// shortest time in which a draining back end must be known to all.
+/// Other nodes normally receive changes from the coordinator. When they have to watch the tables
+/// themselves, all may do so at once, for example at fleet start, before any node knows the fleet
+/// size. Their pause between calls therefore grows with the number of known nodes, within bounds.
+/// The upper bound is a third of the shortest time in which all nodes must learn of a draining back
+/// end.
 constexpr Duration kBatchPausePerNode = absl::Milliseconds(10);
 constexpr Duration kMinFollowerBatchPause = absl::Milliseconds(250);
 constexpr Duration kMaxFollowerBatchPause = absl::Milliseconds(700);
 constexpr uint32_t kFollowedTables = 2;
-/// After its start a node that does not coordinate leaves the watches to the coordinator for so
-/// long: a fleet that starts has one after 1.2 s (seen with 295 nodes), and shorter bounds than 2 s
-/// are not known.
+/// After its start, a node that is not the coordinator delays its own watches by this time. A
+/// starting fleet of 295 nodes has a coordinator after 1.2 s; the tightest known bound is 2 s.
 constexpr Duration kFirstWatchPause = absl::Milliseconds(1500);
 
-/// More turns than any chain of events needs; ends a loop that would never settle.
+/// More turns than any chain of events needs; bounds a loop that would otherwise not end.
 constexpr int kMaxPumpTurns = 64;
 
-/// The result of an order, as a metric's label.
+/// Returns the result of an order as a metric label.
 std::string_view NameOf(ownership::OrderStatus status) {
   switch (status) {
     case ownership::OrderStatus::kDone:
@@ -55,7 +54,7 @@
   return "no_answer";
 }
 
-/// Mixed into the seeds of jitters, so that each differs.
+/// Offsets added to the incarnation, so that each component has its own jitter seed.
 enum SeedPurpose : uint64_t { kConfigurationSeed = 1, kBackendSeed, kMembershipSeed, kPeerSeed };
 
 store::FollowerSettings FollowerSettingsOf(std::string_view table, uint64_t seed) {
@@ -66,7 +65,7 @@
   return settings;
 }
 
-/// All that nodes write lies in one partition of the store, which may take less than the whole.
+/// All rows written by nodes are in one store partition, whose limit may be below the store's.
 double WritesPerSecond(const gateway::StoreSettings& store) {
   return std::min(store.writes_per_second, store.partition_writes_per_second);
 }
@@ -102,13 +101,13 @@
   return {incarnation, settings.name, settings.listen.own_peer_address()};
 }
 
-/// Whether the store itself said what became of the call.
+/// Returns whether the store itself reported the outcome of the call.
 bool WasAnswered(const store::StoreReply& reply) {
   return reply.status != store::StoreStatus::kUnknown &&
          reply.status != store::StoreStatus::kRefused;
 }
 
-/// What was sent to other nodes, for the metrics.
+/// Returns the messages queued to other nodes, for the metrics.
 std::vector<observability::PeerMessageCount> CountsOf(const gateway::TrafficTable& queued) {
   std::vector<observability::PeerMessageCount> counts;
   for (size_t kind = 0; kind < queued.size(); ++kind) {
@@ -324,7 +323,7 @@
     coordinator_.OnCatalog(sharded, changes, Now());
     return;
   }
-  // What came before the configuration was not told.
+  // Changes before the first configuration were not reported, so report all back ends.
   catalog::BackendChanges all;
   for (const auto& [id, backend] : catalog_.backends().all()) {
     all.set.push_back(backend);
--- a/src/node/control_plane.h
+++ b/src/node/control_plane.h
@@ -1,5 +1,5 @@
-// Drives the decisions about configuration, membership and ownership: carries their actions out and
-// tells them what came of it. One thread, in the event loop.
+// Drives the configuration, membership and ownership logic: executes its actions and passes the
+// results back to it. Single-threaded; runs in the event loop.
 #pragma once
 
 #include <cstdint>
@@ -29,7 +29,7 @@
 
 namespace ladderstream::node {
 
-/// What the control plane tells the data path.
+/// Receives the control plane's updates for the data path and answers its queries.
 class ControlPlaneListener {
  public:
   virtual ~ControlPlaneListener() = default;
@@ -39,51 +39,51 @@
                           const forwarding::RegistrationUpdate& update) = 0;
   virtual void OnOwnership(std::shared_ptr<const ownership::OwnershipMap> map) = 0;
   virtual void OnMapConfirmed(Time until) = 0;
-  /// All nodes that take part, this one included, by incarnation.
+  /// `members` are the incarnations of all member nodes, including this one.
   virtual void OnMembers(const std::vector<uint64_t>& members) = 0;
   virtual void OnMembersConfirmed(Time until) = 0;
-  /// Another node knows of requests that crash back ends.
+  /// Another node reported requests that crash back ends.
   virtual void OnSuspects(const std::vector<quarantine::SuspectRecord>& suspects) = 0;
-  /// Another node knows of limits of back ends.
+  /// Another node reported rate limits of back ends.
   virtual void OnLimits(const std::vector<allowance::LimitRecord>& limits) = 0;
-  /// All limits of back ends that this node knows of.
+  /// Returns all back-end rate limits known to this node, by back-end id.
   virtual std::map<std::string, double> LimitsInForce() = 0;
-  /// Another node asks for permits.
+  /// Answers another node's request for permits.
   virtual allowance::PermitReply OnPermitQuestion(const allowance::PermitQuestion& question) = 0;
   virtual void OnPermitReply(const allowance::PermitReply& reply) = 0;
-  /// What the data path counted since the last call.
+  /// Returns the load that the data path counted since the last call.
   virtual std::vector<load::ServiceLoad> TakeLoad() = 0;
 };
 
 class ControlPlane {
  public:
-  /// Everything handed in outlives the control plane.
+  /// All arguments passed by pointer must outlive the control plane.
   ControlPlane(gateway::LoopResources* resources, const gateway::NodeSettings& settings,
                uint64_t incarnation, interfaces::PlatformAdapterPtr adapter,
                observability::BeliefLog* beliefs, observability::NodeMetrics* metrics,
                ControlPlaneListener* listener);
   ~ControlPlane();
 
-  /// Begins to listen for other nodes and to read the store.
+  /// Starts listening for other nodes and reading the store.
   void Start();
-  /// Settings that may change while the process runs.
+  /// Applies the settings that may change while the process runs.
   void Apply(const gateway::NodeSettings& fresh);
-  /// What this node knows of requests that crash back ends, for the others; see
+  /// Publishes to the other nodes the known requests that crash back ends; see
   /// membership::Membership::OnSuspects.
   void PublishSuspects(std::vector<quarantine::SuspectRecord> suspects, bool own);
-  /// Limits of back ends that changed lately; see membership::Membership::OnLimits.
+  /// Publishes recently changed rate limits of back ends; see membership::Membership::OnLimits.
   void PublishLimits(std::vector<allowance::LimitRecord> own_limits,
                      std::vector<allowance::LimitRecord> all, bool own);
   void RequestPermits(const std::vector<allowance::PermitQuestion>& questions);
-  /// A planned stop: gives the lease up, if this node holds it.
+  /// Releases the coordinator lease, if this node holds it, for a planned stop.
   void Resign();
-  /// Whether the lease, if this node held it, has been given up.
+  /// Returns whether Resign() was called and this node holds no lease any more.
   bool HasResigned() const;
 
-  /// Since the start, by kind.
+  /// Returns the number of store calls since the start, by kind.
   std::map<std::string, uint64_t> StoreCalls() const;
   bool HasConfiguration() const { return catalog_.configuration() != nullptr; }
-  /// Adds what the metrics show of the control plane.
+  /// Fills in the control plane's part of the metrics.
   void Describe(observability::NodeState* state) const;
 
  private:
@@ -119,16 +119,16 @@
   void Execute(const membership::PermitAnsweredAction& answered);
   void Execute(const membership::TablesMergedAction& merged);
 
-  /// Runs everything that is due until nothing is left to do, then sets the timer.
+  /// Runs all due work until no actions are left, then arms the timer.
   void Pump();
-  /// Pumps after the present event, once however often it is asked for.
+  /// Posts one Pump() to run after the current event; repeated calls before then have no effect.
   void SchedulePump();
   void PollFollower(store::TableFollower* follower);
-  /// Tells the coordinator, once there is a configuration.
+  /// Reports the changes to the coordinator, once there is a configuration.
   void ReportCatalog(const catalog::BackendChanges& changes);
   void ReportOwnLoad();
   void PublishLease();
-  /// Fits this node's calls into its share of what the store takes.
+  /// Limits this node's store calls to its share of the store's capacity.
   void UpdateStoreShare();
   bool ExecuteActions();
   void ArmTimer();
@@ -150,12 +150,12 @@
   store::TableFollower configuration_follower_;
   store::TableFollower backend_follower_;
   CatalogTables catalog_;
-  /// The coordinator knows all back ends but those that changed since.
+  /// Whether the coordinator has received the full set of back ends, so that it needs only changes.
   bool catalog_reported_ = false;
   ownership::Coordinator coordinator_;
   membership::Membership membership_;
 
-  /// What membership was last told of this node's lease.
+  /// This node's lease as last reported to `membership_`.
   ownership::LeaseView published_lease_;
   Time published_lease_until_ = absl::InfinitePast();
   bool holds_lease_ = false;
--- a/src/node/control_plane_actions.cc
+++ b/src/node/control_plane_actions.cc
@@ -1,5 +1,5 @@
-// Carries out what the coordinator and the membership want, and tells other nodes what this one
-// knows.
+// Executes the actions of the coordinator and the membership, and publishes this node's suspects
+// and limits to other nodes.
 #include <utility>
 #include <vector>
 
--- a/src/node/http_client_exchanger.h
+++ b/src/node/http_client_exchanger.h
@@ -1,4 +1,4 @@
-// Lets the store's client make its calls through the event loop's HTTP client.
+// HttpExchanger that runs the store client's calls on the event loop's HTTP client.
 #pragma once
 
 #include "gateway/http/http_client.h"
@@ -8,7 +8,7 @@
 
 class HttpClientExchanger : public interfaces::HttpExchanger {
  public:
-  /// `client` outlives the exchanger.
+  /// `client` must outlive the exchanger.
   explicit HttpClientExchanger(gateway::HttpClient* client) : client_(client) {}
 
   interfaces::ExchangeId Exchange(const Endpoint& to, const interfaces::HttpRequest& request,
--- a/src/node/load_exchange.h
+++ b/src/node/load_exchange.h
@@ -1,5 +1,5 @@
-// Turns what this node's dispatcher counted into the message for the coordinator, and a message
-// back into what the coordinator takes.
+// Converts the load counted by this node's dispatcher to reports for the coordinator, and received
+// reports to the coordinator's input.
 #pragma once
 
 #include <vector>
@@ -12,11 +12,13 @@
 
 namespace ladderstream::node {
 
-/// The message form of those `loads` that the coordinator weighs: of the sharded services.
+/// Returns reports of the `loads` of sharded services, the only ones that the coordinator uses.
+/// Returns none if `configuration` is null.
 std::vector<membership::LoadReport> ToReports(const std::vector<load::ServiceLoad>& loads,
                                               const catalog::Configuration* configuration);
 
-/// Tells `coordinator` what a node counted. Entries of unequal length are cut to the shortest.
+/// Passes a node's reports to `coordinator`. Parallel lists of unequal length are truncated to the
+/// shortest.
 void ReportToCoordinator(const std::vector<membership::LoadReport>& reports, Time now,
                          ownership::Coordinator* coordinator);
 
--- a/src/node/main.cc
+++ b/src/node/main.cc
@@ -1,7 +1,7 @@
-// ladderstream_node: the program that every machine of a deployment runs.
+// ladderstream_node: the server process that runs on every machine of a deployment.
 //
-// Exit codes: 0 after a planned stop or a check without faults; 1 when the node cannot start; 2 for
-// faults in the settings; 3 when a planned stop ran out of time.
+// Exit codes: 0 after a planned stop or a settings check without errors; 1 if the node cannot
+// start; 2 if the settings are invalid; 3 if a planned stop timed out.
 #include <gflags/gflags.h>
 
 #include <csignal>
--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -15,31 +15,31 @@
 namespace ladderstream::node {
 namespace {
 
-/// How long a stopping node goes on taking connections at least: the platform needs two unanswered
-/// readiness questions, a second apart, to send callers elsewhere.
+/// Minimum time for which a stopping node accepts connections: the platform redirects callers only
+/// after two failed readiness checks, one second apart.
 constexpr Duration kMinDrainTime = absl::Milliseconds(2600);
 
-/// Left of the grace time for the last lines of the log and the end of the process.
+/// Part of the grace time reserved for writing the last log lines and ending the process.
 constexpr Duration kStopMargin = absl::Milliseconds(400);
 
-/// After this share of the grace time, requests that might outlast it are refused.
+/// After this share of the grace time, requests that may run past its end are refused.
 constexpr double kLongRequestCutoffShare = 0.5;
 
 constexpr Duration kHousekeepingInterval = absl::Seconds(1);
-/// How many turns of the housekeeping lie between two lines that tell the calls to the store.
+/// Housekeeping turns per log line with the counts of store calls.
 constexpr uint64_t kHousekeepingTurnsPerStoreCallsLine = 5;
 constexpr Duration kFinalFlushTimeout = absl::Milliseconds(50);
 
-/// The share of the machine's memory that bodies may take.
+/// Share of the machine's memory that message bodies may use.
 constexpr double kBodyMemoryShare = 0.3;
-/// Descriptors left for files, listening sockets, other nodes and back ends.
+/// Descriptors reserved for files, listening sockets, other nodes and back ends.
 constexpr uint32_t kReservedDescriptors = 900;
 
 constexpr char kProgramVersion[] = "0.2.0";
 
 uint64_t DrawIncarnation() {
   std::random_device device;
-  // Zero means "none" on the wire.
+  // Zero means "none" on the wire, so the lowest bit is always set.
   return (uint64_t{device()} << 32U | device()) | 1U;
 }
 
@@ -62,7 +62,7 @@
   return dispatcher;
 }
 
-/// The settings' check lets only names of severities pass.
+/// `name` is a valid severity: the settings check rejects all other names.
 void SetLogLevel(std::string_view name) {
   Severity lowest = Severity::kInfo;
   ParseSeverity(name, &lowest);
@@ -107,7 +107,7 @@
     metrics_server_ = std::make_unique<gateway::ReadinessServer>(loop_, listen, "/ready",
                                                                  [this] { return IsReady(); });
   } catch (const Error& error) {
-    // Requests are served without metrics too.
+    // Metrics are optional: requests are still served.
     Log(Part::kMetrics, Severity::kError, "Metrics are not served.", {{"reason", error.what()}});
     return;
   }
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -1,4 +1,4 @@
-// One node: its parts, put together, started and stopped in order. One thread.
+// Owns the components of a node and starts and stops them in order. Single-threaded.
 #pragma once
 
 #include <boost/asio/signal_set.hpp>
@@ -25,14 +25,15 @@
 
 class Node : private ControlPlaneListener {
  public:
-  /// `settings` were read from `file`, which outlives the node and is read again when it changes or
-  /// on SIGHUP. Listens at once; throws Error(kInvalidSetting) when an address cannot be had.
+  /// `settings` were read from `file`, which must outlive the node and is read again when it
+  /// changes or on SIGHUP. Starts listening; throws Error(kInvalidSetting) if it cannot bind an
+  /// address.
   Node(const gateway::NodeSettings& settings, interfaces::PlatformAdapterPtr adapter,
        gateway::SettingsFile* file);
   ~Node() override;
 
-  /// Serves until a stop signal has been obeyed. False when requests were left when the time to
-  /// stop was up.
+  /// Serves until a planned stop, begun by a signal, is complete. Returns false if requests were
+  /// still in flight at the stop deadline.
   bool Run();
 
  private:
@@ -51,26 +52,27 @@
   void OnPermitReply(const allowance::PermitReply& reply) override;
   std::vector<load::ServiceLoad> TakeLoad() override;
 
-  /// Without the address, the node runs on without metrics.
+  /// If the address cannot be bound, the node runs without metrics.
   void ServeMetrics(const Endpoint& listen);
   void WaitForSignal();
   void OnSignal(int signal);
-  /// Takes up what may change while the process runs; the log tells what waits for the next start.
-  /// Settings at fault change nothing.
+  /// Applies the settings that may change while the process runs and logs those that need a
+  /// restart. Invalid settings change nothing.
   void Reload(std::string_view cause);
   void Apply(const gateway::NodeSettings& fresh);
   void BeginStop(std::string_view cause);
-  /// Ends the event loop once callers have gone elsewhere and nothing is left to answer.
-  /// When the process ends at the latest.
+  /// Returns the latest time at which the event loop ends.
   Time StopDeadline() const;
+  /// Ends the event loop once callers have had time to switch to other nodes and no request is in
+  /// flight, or at the stop deadline.
   void TryStop();
   void EndStop(bool timed_out);
   bool IsReady();
-  /// Once a second: what changed without an event.
+  /// Runs once a second for changes that no event reports.
   void OnHousekeeping();
-  /// Tells the other nodes what is known here of requests that crash back ends.
+  /// Publishes the known requests that crash back ends to the other nodes.
   void PublishSuspects(bool own);
-  /// Takes to other nodes what the dispatcher learned of limits, and asks for permits.
+  /// Publishes the dispatcher's changed limits to the other nodes and sends its permit requests.
   void SyncLimits();
   void PublishLimits(bool own);
   void LogBeliefs();
--- a/src/node/order_sender.h
+++ b/src/node/order_sender.h
@@ -1,4 +1,4 @@
-// Carries the coordinator's orders to back ends: grants and releases.
+// Sends the coordinator's orders, grants and releases, to back ends.
 #pragma once
 
 #include <functional>
@@ -15,13 +15,14 @@
   using ReplyHandler =
       std::function<void(ownership::CallId call, const ownership::OrderReply& reply)>;
 
-  /// Everything handed in outlives the sender. `on_reply` is called from the event loop, never from
-  /// inside Send.
+  /// `client` and `adapter` must outlive the sender. `on_reply` is called from the event loop,
+  /// never from within Send().
   OrderSender(gateway::HttpClient* client, const interfaces::PlatformAdapter* adapter,
               Duration timeout, Duration release_timeout, ReplyHandler on_reply);
 
   void Send(const ownership::GrantAction& grant);
-  /// A release is answered only when the work on its keys has ended, so it may take longer.
+  /// Uses `release_timeout`: a back end answers a release only after the work on its keys has
+  /// ended.
   void Send(const ownership::ReleaseAction& release);
 
  private:
--- a/tests/unit/node/catalog_tables_test.cc
+++ b/tests/unit/node/catalog_tables_test.cc
@@ -1,5 +1,6 @@
-// A node of 9,998 back ends decoded every registration again at each change of any of them: second
-// in the profile of a start, and first once ServiceTable::EndEarlierIncarnations was gone from it.
+// Guards against decoding all registrations again when a single one changes. With 9,998 back ends,
+// that was the second-largest cost in the profile of a node's start, and the largest once
+// ServiceTable::EndEarlierIncarnations was no longer in it.
 #include "node/catalog_tables.h"
 
 #include <absl/strings/str_cat.h>
@@ -33,7 +34,7 @@
             version,
             false};
   }
-  /// Gives how many registrations were decoded.
+  /// Returns the number of registrations decoded.
   uint64_t ApplyChange(const store::Row& row) {
     const uint64_t before = tables.decoded_rows();
     reported = {};
