--- a/src/node/control_plane.h
+++ b/src/node/control_plane.h
@@ -1,5 +1,5 @@
-// Drives the decisions about configuration, membership and ownership: carries their actions out and
-// tells them what came of it. One thread, in the event loop.
+// Drives the configuration, membership and ownership logic: executes its actions and passes the
+// results back to it. Single-threaded; runs in the event loop.
 #pragma once
 
 #include <cstdint>
@@ -29,61 +29,61 @@
 
 namespace ladderstream::node {
 
-/// What the control plane tells the data path.
+/// Receives the control plane's updates for the data path and answers its queries.
 class ControlPlaneListener {
  public:
   virtual ~ControlPlaneListener() = default;
 
   virtual void OnConfiguration(std::shared_ptr<const catalog::Configuration> configuration) = 0;
   virtual void OnBackends(const catalog::BackendChanges& changes,
-                          const forwarding::RegistrationUpdate& news) = 0;
+                          const forwarding::RegistrationUpdate& update) = 0;
   virtual void OnOwnership(std::shared_ptr<const ownership::OwnershipMap> map) = 0;
   virtual void OnMapConfirmed(Time until) = 0;
-  /// All nodes that take part, this one included, by incarnation.
+  /// `members` are the incarnations of all member nodes, including this one.
   virtual void OnMembers(const std::vector<uint64_t>& members) = 0;
   virtual void OnMembersConfirmed(Time until) = 0;
-  /// Another node knows of requests that crash back ends.
+  /// Another node reported requests that crash back ends.
   virtual void OnSuspects(const std::vector<quarantine::SuspectRecord>& suspects) = 0;
-  /// Another node knows of limits of back ends.
+  /// Another node reported rate limits of back ends.
   virtual void OnLimits(const std::vector<allowance::LimitRecord>& limits) = 0;
-  /// All limits of back ends that this node knows of.
+  /// Returns all back-end rate limits known to this node, by back-end id.
   virtual std::map<std::string, double> LimitsInForce() = 0;
-  /// Another node asks for permits.
+  /// Answers another node's request for permits.
   virtual allowance::PermitReply OnPermitQuestion(const allowance::PermitQuestion& question) = 0;
   virtual void OnPermitReply(const allowance::PermitReply& reply) = 0;
-  /// What the data path counted since the last call.
+  /// Returns the load that the data path counted since the last call.
   virtual std::vector<load::ServiceLoad> TakeLoad() = 0;
 };
 
 class ControlPlane {
  public:
-  /// Everything handed in outlives the control plane.
+  /// All arguments passed by pointer must outlive the control plane.
   ControlPlane(gateway::LoopResources* resources, const gateway::NodeSettings& settings,
                uint64_t incarnation, interfaces::PlatformAdapterPtr adapter,
                observability::BeliefLog* beliefs, observability::NodeMetrics* metrics,
                ControlPlaneListener* listener);
   ~ControlPlane();
 
-  /// Begins to listen for other nodes and to read the store.
+  /// Starts listening for other nodes and reading the store.
   void Start();
-  /// Settings that may change while the process runs.
+  /// Applies the settings that may change while the process runs.
   void Apply(const gateway::NodeSettings& fresh);
-  /// What this node knows of requests that crash back ends, for the others; see
+  /// Publishes to the other nodes the known requests that crash back ends; see
   /// membership::Membership::OnSuspects.
-  void TellSuspects(std::vector<quarantine::SuspectRecord> suspects, bool own);
-  /// Limits of back ends that changed lately; see membership::Membership::OnLimits.
-  void TellLimits(std::vector<allowance::LimitRecord> own_limits,
-                  std::vector<allowance::LimitRecord> all, bool own);
-  void AskPermits(const std::vector<allowance::PermitQuestion>& questions);
-  /// A planned stop: gives the lease up, if this node holds it.
+  void PublishSuspects(std::vector<quarantine::SuspectRecord> suspects, bool own);
+  /// Publishes recently changed rate limits of back ends; see membership::Membership::OnLimits.
+  void PublishLimits(std::vector<allowance::LimitRecord> own_limits,
+                     std::vector<allowance::LimitRecord> all, bool own);
+  void RequestPermits(const std::vector<allowance::PermitQuestion>& questions);
+  /// Releases the coordinator lease, if this node holds it, for a planned stop.
   void Resign();
-  /// Whether the lease, if this node held it, has been given up.
+  /// Returns whether Resign() was called and this node holds no lease any more.
   bool HasResigned() const;
 
-  /// Since the start, by kind.
+  /// Returns the number of store calls since the start, by kind.
   std::map<std::string, uint64_t> StoreCalls() const;
   bool HasConfiguration() const { return catalog_.configuration() != nullptr; }
-  /// Adds what the metrics show of the control plane.
+  /// Fills in the control plane's part of the metrics.
   void Describe(observability::NodeState* state) const;
 
  private:
@@ -94,42 +94,44 @@
                        const store::StoreReply& reply);
 
   // Actions of the coordinator.
-  void Carry(const ownership::CommitAction& commit);
-  void Carry(const ownership::ReadAction& read);
-  void Carry(const ownership::GrantAction& grant) { orders_.Send(grant); }
-  void Carry(const ownership::ReleaseAction& release) { orders_.Send(release); }
-  void Carry(const ownership::PublishAction& publish);
-  void Carry(const ownership::StateChangeAction& belief) { beliefs_->OnCoordinatorBelief(belief); }
+  void Execute(const ownership::CommitAction& commit);
+  void Execute(const ownership::ReadAction& read);
+  void Execute(const ownership::GrantAction& grant) { orders_.Send(grant); }
+  void Execute(const ownership::ReleaseAction& release) { orders_.Send(release); }
+  void Execute(const ownership::PublishAction& publish);
+  void Execute(const ownership::StateChangeAction& change) {
+    beliefs_->OnCoordinatorBelief(change);
+  }
 
   // Actions of the membership.
-  void Carry(const membership::SendAction& send);
-  void Carry(const membership::ReportDueAction& due);
-  void Carry(const membership::HeartbeatReceivedAction& heard);
-  void Carry(const membership::CoordinatorEndedAction& ended);
-  void Carry(const membership::MapChangedAction& changed);
-  void Carry(const membership::MapConfirmedAction& confirmed);
-  void Carry(const membership::MembersChangedAction& changed);
-  void Carry(const membership::MembersConfirmedAction& confirmed);
-  void Carry(const membership::ReportReceivedAction& report);
-  void Carry(const membership::SuspectsReceivedAction& heard);
-  void Carry(const membership::LimitsReceivedAction& heard);
-  void Carry(const membership::PermitRequestedAction& asked);
-  void Carry(const membership::PermitAnsweredAction& answered);
-  void Carry(const membership::TablesMergedAction& merged);
-
-  /// Runs everything that is due until nothing is left to do, then sets the timer.
+  void Execute(const membership::SendAction& send);
+  void Execute(const membership::ReportDueAction& due);
+  void Execute(const membership::HeartbeatReceivedAction& received);
+  void Execute(const membership::CoordinatorEndedAction& ended);
+  void Execute(const membership::MapChangedAction& changed);
+  void Execute(const membership::MapConfirmedAction& confirmed);
+  void Execute(const membership::MembersChangedAction& changed);
+  void Execute(const membership::MembersConfirmedAction& confirmed);
+  void Execute(const membership::ReportReceivedAction& report);
+  void Execute(const membership::SuspectsReceivedAction& received);
+  void Execute(const membership::LimitsReceivedAction& received);
+  void Execute(const membership::PermitRequestedAction& request);
+  void Execute(const membership::PermitAnsweredAction& answered);
+  void Execute(const membership::TablesMergedAction& merged);
+
+  /// Runs all due work until no actions are left, then arms the timer.
   void Pump();
-  /// Pumps after the present event, once however often it is asked for.
-  void PumpSoon();
+  /// Posts one Pump() to run after the current event; repeated calls before then have no effect.
+  void SchedulePump();
   void PollFollower(store::TableFollower* follower);
-  /// Tells the coordinator, once there is a configuration.
-  void TellCatalog(const catalog::BackendChanges& changes);
-  void TellOwnLoad();
-  void ShareLease();
-  /// Fits this node's calls into its share of what the store takes.
-  void ShareStore();
-  bool CarryActions();
-  void Arm();
+  /// Reports the changes to the coordinator, once there is a configuration.
+  void ReportCatalog(const catalog::BackendChanges& changes);
+  void ReportOwnLoad();
+  void PublishLease();
+  /// Limits this node's store calls to its share of the store's capacity.
+  void UpdateStoreShare();
+  bool ExecuteActions();
+  void ArmTimer();
   Time Now() const { return resources_->clock.Now(); }
 
   gateway::LoopResources* const resources_;
@@ -148,14 +150,14 @@
   store::TableFollower configuration_follower_;
   store::TableFollower backend_follower_;
   CatalogTables catalog_;
-  /// The coordinator knows all back ends but those that changed since.
-  bool catalog_told_ = false;
+  /// Whether the coordinator has received the full set of back ends, so that it needs only changes.
+  bool catalog_reported_ = false;
   ownership::Coordinator coordinator_;
   membership::Membership membership_;
 
-  /// What membership was last told of this node's lease.
-  ownership::LeaseView shared_lease_;
-  Time shared_lease_until_ = absl::InfinitePast();
+  /// This node's lease as last reported to `membership_`.
+  ownership::LeaseView published_lease_;
+  Time published_lease_until_ = absl::InfinitePast();
   bool holds_lease_ = false;
   uint64_t known_holder_ = 0;
   Time next_own_load_ = absl::InfinitePast();
--- a/src/node/main.cc
+++ b/src/node/main.cc
@@ -1,7 +1,7 @@
-// ladderstream_node: the program that every machine of a deployment runs.
+// ladderstream_node: the server process that runs on every machine of a deployment.
 //
-// Exit codes: 0 after a planned stop or a check without faults; 1 when the node cannot start; 2 for
-// faults in the settings; 3 when a planned stop ran out of time.
+// Exit codes: 0 after a planned stop or a settings check without errors; 1 if the node cannot
+// start; 2 if the settings are invalid; 3 if a planned stop timed out.
 #include <gflags/gflags.h>
 
 #include <csignal>
@@ -24,7 +24,7 @@
 namespace ladderstream::node {
 namespace {
 
-enum ExitCode : int { kStopped = 0, kCannotStart = 1, kSettingsAtFault = 2, kStopTimedOut = 3 };
+enum ExitCode : int { kStopped = 0, kCannotStart = 1, kInvalidSettings = 2, kStopTimedOut = 3 };
 
 std::string SettingsPath() {
   if (!FLAGS_settings_from.empty()) {
@@ -54,7 +54,7 @@
     return Run();
   } catch (const settings::SettingsError& error) {
     std::cerr << error.what() << '\n';
-    return kSettingsAtFault;
+    return kInvalidSettings;
   } catch (const std::exception& error) {
     std::cerr << "ladderstream_node: " << error.what() << '\n';
     return kCannotStart;
